--- a/packages/errand/include/errand/course.hpp
+++ b/packages/errand/include/errand/course.hpp
@@ -32,7 +32,10 @@
   }
   void ended(End e) { ended(e, surely_not_run(e)); }
   void ended(End e, bool not_run) {
-    if (e != End::unsent) ++arrivals_;
+    if (e != End::unsent) {
+      ++arrivals_;
+      paid_ = false;  // its budget token is used up
+    }
     if (!not_run) maybe_run_ = true;
   }
 
@@ -44,7 +47,16 @@
     if (tries_ >= max_ + 2 || arrivals_ >= max_) return false;
     return deadline_ - now >= 0.01;
   }
-  bool costs_budget() const { return arrivals_ > 0; }
+  // A budget token pays for an arrival: a retry that reached no server keeps its token
+  // for the next one.
+  bool costs_budget() const { return arrivals_ > 0 && !paid_; }
+  // A budget token was taken for the next attempt.
+  void paid() { paid_ = true; }
+
+  // Would a retry be allowed if the attempt at work were broken off now? Only then may it be.
+  bool may_replace(Secs now) const {
+    return repeatable_ && arrivals_ + 1 < max_ && tries_ < max_ + 2 && deadline_ - now >= 0.01;
+  }
 
   enum class Due { wait, expired, unsent, late };
   // What a timer that fired means. late: may be tried elsewhere, if it is worth it.
@@ -53,19 +65,19 @@
     if (!at_server) return Due::wait;
     if (!sent) return now >= connect_ - 0.001 ? Due::unsent : Due::wait;
     // While draining, a server at work is never broken off.
-    if (!draining && repeatable_ && now >= limit_ - 0.001 && arrivals_ + 1 < max_) return Due::late;
+    if (!draining && now >= limit_ - 0.001 && may_replace(now)) return Due::late;
     return Due::wait;
   }
   // When to look again.
   Secs next(Secs now, bool at_server, bool sent) const {
     if (!at_server) return deadline_;
     if (!sent) return std::min(deadline_, std::max(connect_, now + 0.01));
-    if (repeatable_ && arrivals_ + 1 < max_) return std::min(deadline_, std::max(limit_, now + 0.05));
+    if (may_replace(now)) return std::min(deadline_, std::max(limit_, now + 0.05));
     return deadline_;
   }
 
  private:
-  bool repeatable_ = false, maybe_run_ = false;
+  bool repeatable_ = false, maybe_run_ = false, paid_ = false;
   u32 max_ = 1, tries_ = 0, arrivals_ = 0;
   Secs deadline_ = 0, try_at_ = 0, limit_ = 0, connect_ = 0;
 };
--- a/packages/errand/include/errand/request.hpp
+++ b/packages/errand/include/errand/request.hpp
@@ -107,9 +107,27 @@
       return s;
     }
     phase_ = Phase::choice;
-    if (!P::may_go_on(course_, now) || (course_.costs_budget() && !spend())) return give_up(now, wait, "tries used up");
+    if (!P::may_go_on(course_, now)) return give_up(now, wait, "tries used up");
+    if (course_.costs_budget()) {
+      if (!spend()) return give_up(now, wait, "tries used up");
+      course_.paid();
+    }
     return go(Step::Do::choose);
   }
+  // Replaces the attempt that is at work by a retry, if the retry is certain. Asked in this
+  // order, each only if all before it said yes: the course itself; reserve: is a server chosen
+  // for it; spend: the budget. True: the caller breaks the attempt off and sends to the server
+  // that reserve chose, without choosing again. False: nothing has changed, and the attempt
+  // is waited for. terminating: a SIGTERM has arrived, after which none is broken off.
+  template <class R, class F>
+  bool replace_attempt(Secs now, bool terminating, R reserve, F spend) {
+    if (phase_ != Phase::attempt || terminating || !course_.may_replace(now)) return false;
+    if (!reserve() || !spend()) return false;
+    course_.ended(End::silent, P::proves_not_run(End::silent));
+    course_.paid();
+    phase_ = Phase::choice;
+    return true;
+  }
   // Its time is over.
   Step expired(bool sent) {
     if (phase_ == Phase::claim) return claim_unknown(0.2);
--- a/packages/shelf/shelf.cpp
+++ b/packages/shelf/shelf.cpp
@@ -8,6 +8,10 @@
 
 namespace dockbend {
 namespace {
+// libevent's own limits on silence, in seconds. A request is ended by its deadline alone, so
+// its limit is longer than any deadline that a manifest may name.
+int const idle_timeout = 60, request_timeout = 2000000000;
+
 void close_cb(evhttp_connection*, void* p) {
   Chan* const c = static_cast<Chan*>(p);
   if (!c->busy) c->shelf->doom(*c);
@@ -49,6 +53,7 @@
 evhttp_request* Shelf::request(Chan& c) { return evhttp_request_new(done_cb, &c); }
 
 bool Shelf::send(Chan& c, evhttp_request* r, evhttp_cmd_type cmd, char const* uri, int user_timeout_ms) {
+  evhttp_connection_set_timeout(c.ec, request_timeout);
   if (evhttp_make_request(c.ec, r, cmd, uri) != 0) return false;
   tune_socket(bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec)), user_timeout_ms);
   return true;
@@ -68,7 +73,7 @@
   }
   bufferevent* bev = bufferevent_socket_new(eb_, -1, BEV_OPT_DEFER_CALLBACKS);
   c->ec = evhttp_connection_base_bufferevent_new(eb_, nullptr, bev, a.ip.c_str(), static_cast<ev_uint16_t>(a.port));
-  evhttp_connection_set_timeout(c->ec, 60);
+  evhttp_connection_set_timeout(c->ec, idle_timeout);
   evhttp_connection_set_max_headers_size(c->ec, 256 << 10);  // else a head without an end is kept until the deadline
   evhttp_connection_set_closecb(c->ec, close_cb, c);
   evbuffer_add_cb(bufferevent_get_output(bev), out_cb, c);
@@ -108,6 +113,7 @@
   c.owner = nullptr;
   c.idle_since = now;
   c.idle_limit = limit;
+  evhttp_connection_set_timeout(c.ec, idle_timeout);
   idle_[c.server.v].push_back(&c);
   Target& t = as_.at(c.server);
   if (t.uses == c.uses) ++t.idle;
--- a/packages/stacks/include/stacks/program.hpp
+++ b/packages/stacks/include/stacks/program.hpp
@@ -25,6 +25,10 @@
 // settings. Returns an exit code if the program shall end at once.
 std::optional<int> open_program(Cli const& cli, int argc, char** argv, Settings& st);
 
+// Has a SIGTERM (or SIGINT) arrived at a process that has a Watch? True from the moment the
+// signal is delivered, also while its event still waits in the loop behind others.
+bool term_arrived();
+
 // SIGTERM, SIGHUP and the settings file's changes, on the event loop.
 class Watch {
  public:
--- a/packages/stacks/program.cpp
+++ b/packages/stacks/program.cpp
@@ -4,6 +4,7 @@
 #include <signal.h>
 #include <sys/stat.h>
 
+#include <atomic>
 #include <cstdio>
 #include <cstdlib>
 
@@ -24,8 +25,31 @@
                "exit codes: 0 in order, 1 failed while running, 2 wrong usage or bad settings\n",
                c.name, c.what, c.name, c.can_stage ? "  --staged         bring manifest changes out in stages (see rollout.* settings)\n" : "");
 }
+
+std::atomic<bool> term_flag{false};
+static_assert(std::atomic<bool>::is_always_lock_free, "it is set in a signal handler");
+using SignalHandler = void (*)(int);
+SignalHandler term_next = nullptr, int_next = nullptr;  // libevent's
+
+void note_term(int sig) {
+  term_flag.store(true, std::memory_order_relaxed);
+  SignalHandler const next = sig == SIGTERM ? term_next : int_next;
+  if (next != nullptr) next(sig);
+}
+// Puts note_term before the handler that libevent has installed; flags and mask stay as they
+// are. When its event is deleted, libevent restores what stood before both.
+void chain_term(int sig, SignalHandler& next) {
+  struct sigaction sa {};
+  if (sigaction(sig, nullptr, &sa) != 0 || (sa.sa_flags & SA_SIGINFO) != 0) return;
+  if (sa.sa_handler == SIG_DFL || sa.sa_handler == SIG_IGN || sa.sa_handler == note_term) return;
+  next = sa.sa_handler;
+  sa.sa_handler = note_term;
+  sigaction(sig, &sa, nullptr);
+}
 }  // namespace
 
+bool term_arrived() { return term_flag.load(std::memory_order_relaxed); }
+
 std::optional<int> open_program(Cli const& cli, int argc, char** argv, Settings& st) {
   static option const opts[] = {{"settings", required_argument, nullptr, 's'},
                                 {"check", no_argument, nullptr, 'c'},
@@ -83,6 +107,8 @@
   event_add(term_, nullptr);
   event_add(int_, nullptr);
   event_add(hup_, nullptr);
+  chain_term(SIGTERM, term_next);
+  chain_term(SIGINT, int_next);
   struct stat sb {};
   if (::stat(path_used.c_str(), &sb) == 0) {
     seen_mtime_ = static_cast<i64>(sb.st_mtim.tv_sec) * 1000000000 + sb.st_mtim.tv_nsec;
@@ -95,6 +121,7 @@
   event_free(term_);
   event_free(int_);
   event_free(hup_);
+  term_flag.store(false, std::memory_order_relaxed);
 }
 
 void Watch::look(bool told) {
--- a/programs/circulation.cpp
+++ b/programs/circulation.cpp
@@ -350,6 +350,8 @@
   }
   bool drains() const { return leaver_.drains(); }
   bool closing() const { return draining_ || drains(); }
+  // A SIGTERM counts from its arrival: the loop may handle its event later than a timer.
+  bool terminating() const { return draining_ || term_arrived(); }
 
   // ---- clients ---------------------------------------------------------------
   // One place writes the proxy's own answers.
@@ -732,17 +734,35 @@
       return overdrawn(e);
     }
     bool const sent = e.chan != nullptr && e.chan->sent;
-    switch (e.course().due(now, e.chan != nullptr, sent, draining_)) {
+    switch (e.course().due(now, e.chan != nullptr, sent, terminating())) {
       case Course::Due::expired: return expired(e, now);
       case Course::Due::unsent: return ended(e, End::unsent);
       case Course::Due::late:
-        if (as_.choose(wish_of(e), now).ix && e.deadline() - now > 0.3 * as_.lat_of(e.pool)) return ended(e, End::silent);
+        if (e.deadline() - now > 0.3 * as_.lat_of(e.pool) && replaced(e, now)) return;
         break;
       case Course::Due::wait: break;
     }
     set_timer(e, e.course().next(now, e.chan != nullptr, sent));
   }
 
+  // Breaks off an attempt at a server that is at work, once all that its retry needs is had.
+  // Nothing else runs between the choice of the server and the send to it.
+  bool replaced(Errand& e, Secs now) {
+    Assign::Choice c;
+    auto const reserve = [&] {
+      c = as_.choose(wish_of(e), now);
+      return static_cast<bool>(c.ix);
+    };
+    if (!e.core.replace_attempt(now, terminating(), reserve, [&] { return as_.budget(e.pool).take(now, as_.part()); })) return false;
+    ServerIx const s = e.server;
+    let_go(e);
+    as_.dropped(s);
+    count(e);
+    as_.shun(s, 0.1, now);
+    send(e, *c.ix, now);
+    return true;
+  }
+
   void expired(Errand& e, Secs now) {
     bool const sent = e.chan != nullptr && e.chan->sent;
     if (sent) count(e);
--- a/tests/course_test.cpp
+++ b/tests/course_test.cpp
@@ -47,3 +47,26 @@
   cr_assert(once.due(5, true, true, false) == D::wait, "what may not repeat is waited for");
   cr_assert_float_eq(once.next(5, true, true), 10, 1e-9);
 }
+
+// Attempts that reached no server count as well: with the last of them at work no retry is
+// left, so it is waited for.
+Test(course, the_last_allowed_attempt_is_not_late) {
+  using D = Course::Due;
+  Course e(true, 3, 10);
+  for (int i = 0; i < 4; ++i) {
+    e.began(0, 1, 0.25);
+    e.ended(End::unsent);
+  }
+  e.began(1, 1, 0.25);
+  cr_assert_eq(e.tries(), 5u);
+  cr_assert(e.due(3, true, true, false) == D::wait);
+  cr_assert_float_eq(e.next(3, true, true), 10, 1e-9, "it is waited for to its deadline");
+  cr_assert(e.due(10, true, true, false) == D::expired);
+}
+
+Test(course, no_attempt_is_late_when_no_time_is_left_for_a_retry) {
+  Course e(true, 3, 10);
+  e.began(0, 1, 0.25);
+  cr_assert(e.due(9.9, true, true, false) == Course::Due::late);
+  cr_assert(e.due(9.995, true, true, false) == Course::Due::wait);
+}
--- a/tests/request_test.cpp
+++ b/tests/request_test.cpp
@@ -194,7 +194,13 @@
         let_go(q);
         return carry(q, q.core.expired(sent));
       case Course::Due::unsent: return ended(q, End::unsent);
-      case Course::Due::late: return ended(q, End::silent);
+      case Course::Due::late: {
+        int s = 3;
+        auto const reserve = [&] { return (s = choose(q)) <= 2; };
+        if (!q.core.replace_attempt(now_, draining_, reserve, [] { return true; })) return;
+        let_go(q);
+        return attempt_at(q, s);
+      }
       case Course::Due::wait: return;
     }
   }
@@ -212,10 +218,17 @@
     u32 const tag = table_.ask(q);
     post(Msg{[this, tag, key = q.key, h = q.holder](Spoil) { claimed(tag, key, h); }, nullptr, false, true, true});
   }
-  void attempt(Req& q) {
+  static int choose(Req const& q) {
     int s = 0;
     while (q.tried.count(s) > 0) ++s;
+    return s;
+  }
+  void attempt(Req& q) {
+    int const s = choose(q);
     if (s > 2) return carry(q, q.core.none(now_, 0.1, nullptr));
+    attempt_at(q, s);
+  }
+  void attempt_at(Req& q, int s) {
     q.tried.insert(s);
     Conn* c = nullptr;
     for (auto& x : conns_)
@@ -455,3 +468,93 @@
   cr_assert_not(mutate<RefusalNeedsNoId>().empty());
   cr_assert_not((mutate<Rules, NeverCuts>().empty()));
 }
+
+namespace {
+// A repeatable request with an attempt at work since 0, late from 1 on.
+Request at_work(u32 max_tries) {
+  Request r("a", false, Course(true, max_tries, 10));
+  r.admitted();
+  r.began(0, 1, 0.25);
+  return r;
+}
+// Nothing has changed: the attempt is waited for, and its answer goes to the client.
+void still_at_work(Request& r) {
+  cr_assert(r.phase() == Request::Phase::attempt);
+  cr_assert_eq(r.course().arrivals(), 0u);
+  cr_assert_not(r.course().maybe_run());
+  cr_assert(r.ended(End::whole, 5, 0.1, [] { return false; }).what == Step::Do::pass);
+}
+}  // namespace
+
+Test(request, an_empty_budget_breaks_off_no_attempt) {
+  Request r = at_work(3);
+  cr_assert(r.course().due(2, true, true, false) == Course::Due::late);
+  cr_assert_not(r.replace_attempt(2, false, [] { return true; }, [] { return false; }));
+  still_at_work(r);
+}
+
+Test(request, no_other_server_breaks_off_no_attempt_and_takes_no_token) {
+  Request r = at_work(3);
+  int tokens = 0;
+  cr_assert_not(r.replace_attempt(2, false, [] { return false; }, [&] { return ++tokens > 0; }));
+  cr_assert_eq(tokens, 0);
+  still_at_work(r);
+}
+
+Test(request, tries_used_up_break_off_no_attempt_and_take_no_token) {
+  int asked = 0;
+  auto const yes = [&] { return ++asked > 0; };
+  Request one = at_work(1);
+  cr_assert_not(one.replace_attempt(2, false, yes, yes));
+  still_at_work(one);
+  Request r("a", false, Course(true, 2, 10));  // of four tries three reach no server
+  r.admitted();
+  for (int i = 0; i < 3; ++i) {
+    r.began(0, 1, 0.25);
+    cr_assert(r.ended(End::unsent, 0.25, 0.1, [] { return false; }).what == Step::Do::choose);
+  }
+  r.began(0, 1, 0.25);
+  cr_assert_not(r.replace_attempt(2, false, yes, yes));
+  cr_assert_eq(asked, 0);
+  still_at_work(r);
+}
+
+Test(request, a_sigterm_breaks_off_no_attempt) {
+  Request r = at_work(3);
+  int asked = 0;
+  auto const yes = [&] { return ++asked > 0; };
+  cr_assert_not(r.replace_attempt(2, true, yes, yes));
+  cr_assert_eq(asked, 0);
+  still_at_work(r);
+}
+
+Test(request, a_certain_retry_takes_the_place_of_a_late_attempt) {
+  Request r = at_work(3);
+  std::string order;
+  cr_assert(r.replace_attempt(2, false, [&] { order += 's'; return true; }, [&] { order += 't'; return true; }));
+  cr_assert_str_eq(order.c_str(), "st", "the token is taken for a server that is chosen");
+  cr_assert(r.phase() == Request::Phase::choice);
+  cr_assert_eq(r.course().arrivals(), 1u);
+  cr_assert(r.course().maybe_run());
+  // The retry reaches no server, twice: the token taken for it pays for the next.
+  for (int i = 0; i < 2; ++i) {
+    r.began(2, 1, 0.25);
+    cr_assert(r.ended(End::unsent, 2.3, 0.1, [] { return false; }).what == Step::Do::choose);
+  }
+}
+
+// A budget token pays for an arrival: one that reached no server is kept, one that did is not.
+Test(request, a_retry_that_reached_no_server_keeps_its_token) {
+  Request r = at_work(4);
+  int tokens = 0;
+  auto const spend = [&] { return ++tokens > 0; };
+  cr_assert(r.ended(End::broken, 0.5, 0.1, spend).what == Step::Do::choose);
+  cr_assert_eq(tokens, 1);
+  r.began(0.5, 1, 0.25);
+  cr_assert(r.ended(End::unsent, 0.75, 0.1, [] { return false; }).what == Step::Do::choose, "no second token is asked for");
+  r.began(0.75, 1, 0.25);
+  cr_assert(r.ended(End::broken, 1, 0.1, spend).what == Step::Do::choose);
+  cr_assert_eq(tokens, 2, "that one arrived: the next is paid for anew");
+  r.began(1, 1, 0.25);
+  cr_assert(r.ended(End::broken, 1.2, 0.1, [] { return false; }).what == Step::Do::say);
+}
--- a/tests/shelf_test.cpp
+++ b/tests/shelf_test.cpp
@@ -182,3 +182,46 @@
   d.sink.turn(20);
   cr_assert(d.sink.conns.empty() && d.sink.bytes == n);
 }
+
+namespace {
+// How long until libevent gives up on silence at this socket; < 0: no such limit stands.
+struct SilenceLimit {
+  evutil_socket_t fd;
+  Secs left = -1;
+};
+Secs silence_limit(event_base* eb, Chan& c) {
+  SilenceLimit l{bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec))};
+  event_base_foreach_event(eb, [](event_base const*, event const* e, void* p) {
+    SilenceLimit& x = *static_cast<SilenceLimit*>(p);
+    timeval at{}, now{};
+    if (event_get_fd(e) != x.fd || (event_get_events(e) & EV_READ) == 0 || event_pending(e, EV_TIMEOUT, &at) == 0) return 0;
+    // event_pending speaks of the wall clock.
+    evutil_gettimeofday(&now, nullptr);
+    x.left = static_cast<Secs>(at.tv_sec - now.tv_sec) + static_cast<Secs>(at.tv_usec - now.tv_usec) * 1e-6;
+    return 0;
+  }, &l);
+  return l.left;
+}
+}  // namespace
+
+// The deadline of a request is up to its manifest: the channel has no shorter limit of its own.
+Test(shelf, a_servers_silence_ends_no_request) {
+  Desk d;
+  Chan* c = &d.send(0);
+  for (int i = 0; i < 2; ++i) {  // on a new channel and on a kept one
+    std::size_t const before = d.sink.bytes;
+    d.sink.until([&] { return d.sink.bytes > before; });
+    d.sink.turn(3);
+    cr_assert_gt(silence_limit(d.sink.eb, *c), 1e9);
+    d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    d.sink.until([&] { return d.returns == i + 1; });
+    cr_assert(d.whole);
+    d.shelf.keep(*c, 30, 0);
+    d.sink.turn(3);
+    cr_assert_lt(silence_limit(d.sink.eb, *c), 61);
+    if (i == 0) {
+      Chan& again = d.send(1);
+      cr_assert_eq(&again, c);
+    }
+  }
+}
