--- a/tests/cli_golden.sh
+++ b/tests/cli_golden.sh
@@ -1,13 +1,19 @@
 #!/bin/bash
 # The command line's texts and exit codes against tests/golden/cli.txt: help, version and wrong usage of
-# each program and command. With DOCKBEND_WRITE_GOLDEN=1 the file is written instead.
+# each program and command, and the requests that dockbend's commands send. With DOCKBEND_WRITE_GOLDEN=1
+# the file is written instead.
 #   tests/cli_golden.sh BIN
 set -eu
 bin=$(cd "$1" && pwd)
 cd "$(dirname "$0")"
 golden=$PWD/golden/cli.txt
 work=$(mktemp -d)
-trap 'rm -rf "$work"' EXIT
+recorder=
+end() {
+  [ -z "$recorder" ] || kill "$recorder" 2>/dev/null || true
+  rm -rf "$work"
+}
+trap end EXIT
 cd "$work"
 export PATH="$bin:$PATH" LC_ALL=C DOCKBEND_SETTINGS=missing.conf
 # Prints one call's exit code, output and error text; a usage text that help has shown is named only.
@@ -56,6 +62,27 @@
     # shellcheck disable=SC2086
     call dockbend $line
   done
+  # What each command of right usage asks of the control address, which answers {}.
+  "$bin/request_recorder" > requests &
+  recorder=$!
+  for _ in $(seq 1 100); do
+    [ -s requests ] && break
+    sleep 0.1
+  done
+  port=$(head -1 requests)
+  printf '{"upsert":{}}' > amend.json
+  for line in "status" "--json status" "manifest read" "manifest amend amend.json" "evacuation begin z" \
+    "evacuation finish z" "evacuation preview z" "--if-fits evacuation begin z" "member list" \
+    "member remove 10.0.0.1" "member add 10.0.0.1" "duty status" "duty hand-over d n" "allowance list" \
+    "allowance show t" "rollout status" "rollout pause 1" "rollout resume 1" "rollout abort 1" "drain plan n" \
+    "drain start n" "drain status" "drain pause 1" "drain resume 1" "drain abort 1" "drain return 1 u" \
+    "rotation plan n" "rotation start n" "rotation status" "rotation pause 1" "rotation resume 1" \
+    "rotation abort 1" "rotation return 1 u"; do
+    before=$(wc -l < requests)
+    # shellcheck disable=SC2086
+    call dockbend --at "127.0.0.1:$port" --timeout 2 $line | sed "s/127\.0\.0\.1:$port/ADDRESS/g"
+    tail -n +$((before + 1)) requests | sed 's/^/request: /; s/ *$//'
+  done
 } > now.txt
 if [ "${DOCKBEND_WRITE_GOLDEN:-}" = 1 ]; then
   cp now.txt "$golden"
