--- /dev/null
+++ b/tests/http_golden.sh
@@ -0,0 +1,88 @@
+#!/bin/bash
+# The control API of a running system against tests/golden/http.txt: for each call the status code and the
+# names of all JSON members of the answer (values differ from run to run); for refused calls the whole
+# answer. Starts archivist, page, circulation and a stand-in server on loopback and ends by itself. The
+# calls are repeated for up to 20 s, until the system has settled and all is as in the golden file. With
+# DOCKBEND_WRITE_GOLDEN=1 the file is written instead, after 8 s.
+#   tests/http_golden.sh BIN
+set -eu
+bin=$(cd "$1" && pwd)
+cd "$(dirname "$0")/.."
+golden=$PWD/tests/golden/http.txt
+work=$(mktemp -d)
+pids=()
+end() {
+  for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done
+  wait || true
+  rm -rf "$work"
+}
+trap end EXIT
+control=127.0.0.1:38146
+shift_ports="s|8146|38146|g; s|8143|38143|g; s|8144|38144|g; s|8140|38140|g; s|^innerPorts=.*|innerPorts=27760,27775|"
+sed "s|^dataDir=.*|dataDir=$work/data|; $shift_ports" docs/example/core.conf > "$work/core.conf"
+sed "$shift_ports" docs/example/edge.conf > "$work/edge.conf"
+DOCKBEND_SETTINGS=$work/core.conf "$bin/archivist" > "$work/archivist.log" 2>&1 & pids+=($!)
+DOCKBEND_SETTINGS=$work/edge.conf "$bin/page" > "$work/page.log" 2>&1 & pids+=($!)
+DOCKBEND_SETTINGS=$work/edge.conf "$bin/circulation" > "$work/circulation.log" 2>&1 & pids+=($!)
+"$bin/patron" serve --at 127.0.0.1:29101 --id s-1 --beat "$control" --service desk --zone desk \
+  > "$work/patron.log" 2>&1 & pids+=($!)
+for _ in $(seq 1 50); do
+  "$bin/dockbend" --at "$control" manifest amend docs/example/manifest.json >/dev/null 2>&1 && break
+  sleep 0.2
+done
+cat > "$work/customer.json" <<'JSON'
+{"upsert":{"customers":[{"name":"ada","keys":["k1"],"rank":1,"homeRegions":[],
+"allowance":{"rate":60,"burst":60,"reserve":0.3},"generation":"00000001"}]}}
+JSON
+"$bin/dockbend" --at "$control" manifest amend "$work/customer.json" >/dev/null
+"$bin/dockbend" --at "$control" evacuation begin desk >/dev/null
+"$bin/dockbend" --at "$control" evacuation finish desk >/dev/null
+
+# call METHOD TARGET [BODY]: code and names; whole: code and answer.
+call() {
+  local code
+  code=$(curl -s -o "$work/answer" -w '%{http_code}' -m 5 -X "$1" ${3+--data-binary "$3"} "http://$control$2") || true
+  echo "$1 $2${3:+ $3}"
+  echo "  code $code"
+  if [ "${whole-}" = 1 ]; then
+    sed 's/^/  /' "$work/answer"
+    echo
+  else
+    grep -oE '"[A-Za-z_][A-Za-z0-9_.-]*":' "$work/answer" | sort -u | tr -d '":' | sed 's/^/  member /' || true
+  fi
+}
+look() {
+  for name in Status Config.Read Member.List Duty.Status Allowance.List Allowance.Show/ada Rollout.Status \
+    Drain.Status Rotation.Status Survey; do
+    call GET "/-/$name"
+  done
+  whole=1
+  call GET /-/Unknown
+  call GET /-/Config.Amend
+  call POST /-/Config.Amend '{'
+  call POST /-/Config.Amend '{}'
+  call POST /-/Config.Amend '{"upsert":{"pools":[{"name":"x"}]}}'
+  call POST /-/Servers.Heartbeat/s-9 '{}'
+  call POST /-/Rollout.Pause/99 ''
+  call POST /-/Drain.Pause/99 ''
+  call POST /-/Drain.Start '{}'
+  call POST /-/Duty.HandOver/none/none ''
+  call GET /-/Allowance.Show/none
+  call POST /-/Member.Remove/10.9.9.9 ''
+  whole=0
+}
+if [ "${DOCKBEND_WRITE_GOLDEN:-}" = 1 ]; then
+  sleep 8
+  look > "$golden"
+  exit
+fi
+[ -f "$golden" ] || { echo "golden file is missing: $golden" >&2; exit 1; }
+for _ in $(seq 1 20); do
+  look > "$work/now.txt"
+  if cmp -s "$golden" "$work/now.txt"; then
+    echo "http: $(grep -c '^  code' "$golden") calls as in the golden file"
+    exit
+  fi
+  sleep 1
+done
+diff -u "$golden" "$work/now.txt"
