--- a/packages/accession/accession.cpp
+++ b/packages/accession/accession.cpp
@@ -4,10 +4,18 @@
 
 namespace dockbend {
 namespace {
-Outcome taken(bool changed, u64 id = 0) { return Outcome{Ruling::taken, changed, "", id}; }
-Outcome refused(Ruling v, std::string why) { return Outcome{v, false, std::move(why), 0}; }
-Ruling ruling_of(OrderFault const& e) { return e.code == 404 ? Ruling::unknown : e.code == 409 ? Ruling::clash : Ruling::invalid; }
-u32 bit(PassOrder o) { return 1u << static_cast<u32>(o); }
+Outcome taken(bool changed, u64 id = 0) {
+  return Outcome{Ruling::taken, changed, "", id};
+}
+Outcome refused(Ruling v, std::string why) {
+  return Outcome{v, false, std::move(why), 0};
+}
+Ruling ruling_of(OrderFault const& e) {
+  return e.code == 404 ? Ruling::unknown : e.code == 409 ? Ruling::clash : Ruling::invalid;
+}
+u32 bit(PassOrder o) {
+  return 1u << static_cast<u32>(o);
+}
 }  // namespace
 
 int status_of(Ruling v) {
@@ -21,12 +29,16 @@
   return 504;
 }
 
-Outcome unsettled(std::string why) { return refused(Ruling::unsettled, std::move(why)); }
+Outcome unsettled(std::string why) {
+  return refused(Ruling::unsettled, std::move(why));
+}
 
 Amend::Amend(Amendment a, State const* known) : a_(std::move(a)) {
   if (known == nullptr || known->items.empty()) return;
-  for (Item const& i : a_.items) known_.emplace(i.key, Gen());
-  for (Need const& n : a_.needs) known_.emplace("s/" + n.service, Gen());
+  for (Item const& i : a_.items)
+    known_.emplace(i.key, Gen());
+  for (Need const& n : a_.needs)
+    known_.emplace("s/" + n.service, Gen());
   for (Item const& i : known->items)
     if (auto const it = known_.find(i.key); it != known_.end()) it->second = i.gen;
 }
@@ -44,7 +56,8 @@
     if (joined.at(i.key).gen > i.gen && known(i.key) <= i.gen) return true;
   std::unordered_map<std::string_view, Gen> own;
   if (!a_.needs.empty())
-    for (Item const& i : a_.items) own.emplace(i.key, i.gen);
+    for (Item const& i : a_.items)
+      own.emplace(i.key, i.gen);
   for (Need const& n : a_.needs) {
     std::string const k = "s/" + n.service;
     Gen const stands = joined.at(k).gen;
@@ -66,7 +79,8 @@
   }
   if (may_be_refused(items)) return unsettled("other changes came between");
   s.items.clear();
-  for (auto& [k, i] : items) s.items.push_back(std::move(i));
+  for (auto& [k, i] : items)
+    s.items.push_back(std::move(i));
   return taken(true);
 }
 
@@ -81,7 +95,8 @@
 }
 std::vector<std::pair<u64, bool>> passes_of(State const& s) {
   std::vector<std::pair<u64, bool>> v;
-  for (Pass const& p : s.passes) v.emplace_back(p.id, is_over(p.state));
+  for (Pass const& p : s.passes)
+    v.emplace_back(p.id, is_over(p.state));
   return v;
 }
 }  // namespace
@@ -128,7 +143,8 @@
   return taken(true, id);
 }
 
-CommandPass::CommandPass(u64 id, PassOrder o, std::string unit, State const* known) : id_(id), o_(o), unit_(std::move(unit)) {
+CommandPass::CommandPass(u64 id, PassOrder o, std::string unit, State const* known)
+    : id_(id), o_(o), unit_(std::move(unit)) {
   if (Pass const* p = known == nullptr ? nullptr : known->pass(id); p != nullptr) since_ = p->turn;
 }
 
--- a/packages/accession/include/accession/accession.hpp
+++ b/packages/accession/include/accession/accession.hpp
@@ -116,7 +116,10 @@
         *got = o.apply(s);  // as a whole: nothing of an earlier round's outcome stays
         return got->changed;
       },
-      [got, done = std::move(done)](State const* s) { done(s == nullptr ? unsettled("no majority in time; it may yet stand") : *got); }, patience);
+      [got, done = std::move(done)](State const* s) {
+        done(s == nullptr ? unsettled("no majority in time; it may yet stand") : *got);
+      },
+      patience);
 }
 
 }  // namespace dockbend
--- a/packages/allowance/allowance.cpp
+++ b/packages/allowance/allowance.cpp
@@ -44,7 +44,8 @@
 
 std::vector<std::string> Lender::tenants() const {
   std::vector<std::string> v;
-  for (auto const& [t, p] : m_) v.push_back(t);
+  for (auto const& [t, p] : m_)
+    v.push_back(t);
   return v;
 }
 
@@ -71,15 +72,18 @@
     g.heard = now;
     g.spent = std::max(g.spent, w.spent);
     g.refused = std::max(g.refused, w.refused);
-    while (!g.out.empty() && g.out.front().until <= now) g.out.pop_front();
+    while (!g.out.empty() && g.out.front().until <= now)
+      g.out.pop_front();
     // What comes back unspent may be lent again, as long as its lease lasts here.
     for (double back = w.back; back > 1e-9 && !g.out.empty();) {
       double const x = std::min(back, g.out.back().n);
       g.out.back().n -= x;
       p.level = std::min(std::max(p.cut.lent_depth, 1.0), p.level + x);
       back -= x;
-      if (g.out.back().n <= 1e-9) g.out.pop_back();
-      else break;
+      if (g.out.back().n <= 1e-9)
+        g.out.pop_back();
+      else
+        break;
     }
     std::size_t active = 0;
     for (auto git = p.gates.begin(); git != p.gates.end();) {
@@ -133,7 +137,8 @@
     s.spent += g.spent;
     s.refused += g.refused;
     double out = 0;
-    for (Out const& o : g.out) out += o.until > now ? o.n : 0;
+    for (Out const& o : g.out)
+      out += o.until > now ? o.n : 0;
     if (out > 0) s.lent_by[g.front] += out;
     s.lent += out;
   }
@@ -143,9 +148,11 @@
 // ---- borrower -----------------------------------------------------------------------
 
 double Borrower::sum(std::deque<Lot>& l, Secs now) {
-  while (!l.empty() && (l.front().until <= now || l.front().n < 1)) l.pop_front();
+  while (!l.empty() && (l.front().until <= now || l.front().n < 1))
+    l.pop_front();
   double n = 0;
-  for (Lot const& x : l) n += x.n;
+  for (Lot const& x : l)
+    n += x.n;
   return n;
 }
 Secs Borrower::pop(std::deque<Lot>& l, Secs now) {
@@ -168,7 +175,8 @@
 
 std::vector<std::string> Borrower::tenants() const {
   std::vector<std::string> v;
-  for (auto const& [t, p] : m_) v.push_back(t);
+  for (auto const& [t, p] : m_)
+    v.push_back(t);
   return v;
 }
 
@@ -259,8 +267,10 @@
     w.tenant = t;
     // Enough for until the next answer; more would only end unused elsewhere than needed.
     double const ahead = ask_every + 0.1;
-    double const need_high = active ? std::ceil(p.want_high > 0 ? std::max(1.0, p.rate_high * ahead) : p.rate_high * ahead) : 0;
-    double const need_low = active ? std::ceil(p.want_low > 0 ? std::max(1.0, p.rate_low * ahead) : p.rate_low * ahead) : 0;
+    double const need_high =
+        active ? std::ceil(p.want_high > 0 ? std::max(1.0, p.rate_high * ahead) : p.rate_high * ahead) : 0;
+    double const need_low =
+        active ? std::ceil(p.want_low > 0 ? std::max(1.0, p.rate_low * ahead) : p.rate_low * ahead) : 0;
     w.high = std::max(0.0, need_high - have_high);
     w.low = std::max(0.0, need_low - have_low);
     // What is far more than needed goes back at once.
--- a/packages/allowance/include/allowance/allowance.hpp
+++ b/packages/allowance/include/allowance/allowance.hpp
@@ -36,7 +36,8 @@
   DB_RECORD(LoanAsk, (u64, life), (u64, seq), (std::string, front), (std::vector<Want>, wants));
 };
 struct Loan {
-  DB_RECORD(Loan, (std::string, tenant), (double, high), (double, low), (double, wait), (u32, for_ms), (double, proxies));
+  DB_RECORD(Loan, (std::string, tenant), (double, high), (double, low), (double, wait), (u32, for_ms),
+            (double, proxies));
 };
 struct LoanRet {
   DB_RECORD(LoanRet, (u64, life), (u64, seq), (bool, lender), (std::vector<Loan>, loans));
@@ -125,7 +126,10 @@
   bool due(Secs now) const;
   LoanAsk ask(Secs now);
   void got(LoanRet const& r, Secs now);
-  void lost() { asked_ = -1e9; asking_ = false; }  // the ask or its answer went lost
+  void lost() {
+    asked_ = -1e9;
+    asking_ = false;
+  }  // the ask or its answer went lost
   bool asking(Secs now) const { return asking_ && now - asked_ < 1.0; }
 
  private:
--- a/packages/assign/assign.cpp
+++ b/packages/assign/assign.cpp
@@ -13,7 +13,8 @@
 Assign::Assign(Settings const& st) : st_(st) {
   my_zone_ = zone(st.zone);
   my_region_ = region(st.region);
-  for (auto const& [z, r] : st.zones) zone_region_[zone(z).v] = region(r).v;
+  for (auto const& [z, r] : st.zones)
+    zone_region_[zone(z).v] = region(r).v;
 }
 
 PoolIx Assign::pool(std::string const& name) {
@@ -34,8 +35,12 @@
   if (zone_names_.size() <= i) zone_names_.resize(i + 1, name);
   return PlaceIx(i);
 }
-PlaceIx Assign::region(std::string const& name) { return PlaceIx(index_of(regions_, name)); }
-void Assign::rule(PoolIx p, PoolRule r) { rules_[p.v] = r; }
+PlaceIx Assign::region(std::string const& name) {
+  return PlaceIx(index_of(regions_, name));
+}
+void Assign::rule(PoolIx p, PoolRule r) {
+  rules_[p.v] = r;
+}
 
 bool Assign::put(Seen const& r, Secs now) {
   PoolIx const p = pool(r.service);
@@ -98,7 +103,8 @@
 }
 
 void Assign::change(std::vector<Seen> const& rows, Secs now) {
-  for (Seen const& r : rows) put(r, now);
+  for (Seen const& r : rows)
+    put(r, now);
   settle();
 }
 
@@ -111,7 +117,8 @@
 
 void Assign::evacuated(std::set<std::string> const& zones, Secs now) {
   std::set<u32> next;
-  for (auto const& z : zones) next.insert(zone(z).v);
+  for (auto const& z : zones)
+    next.insert(zone(z).v);
   for (u32 const z : evac_)
     // Servers of a zone taken back may have turned cold a moment ago: until
     // their beats have had time to say so, they count as cold.
@@ -119,9 +126,11 @@
   evac_ = std::move(next);
   for (u32 i = 0; i < t_.size(); ++i) {
     auto const it = thaw_.find(t_[i].zone.v);
-    if (it != thaw_.end() && t_[i].ready && it->second > now && evac_.count(t_[i].zone.v) == 0) cold(ServerIx(i), it->second - now, now);
+    if (it != thaw_.end() && t_[i].ready && it->second > now && evac_.count(t_[i].zone.v) == 0)
+      cold(ServerIx(i), it->second - now, now);
   }
-  for (auto it = thaw_.begin(); it != thaw_.end();) it = it->second <= now ? thaw_.erase(it) : std::next(it);
+  for (auto it = thaw_.begin(); it != thaw_.end();)
+    it = it->second <= now ? thaw_.erase(it) : std::next(it);
 }
 
 void Assign::sites(std::map<std::string, u32> const& by_zone) {
@@ -136,7 +145,9 @@
   }
 }
 
-double Assign::part() const { return 1.0 / std::max(all_sites_ * 1.25, 4.0); }
+double Assign::part() const {
+  return 1.0 / std::max(all_sites_ * 1.25, 4.0);
+}
 
 Near Assign::near(Target const& t) const {
   if (t.zone == my_zone_) return Near::zone;
@@ -167,7 +178,7 @@
 double const cold_part = 0.6;
 double const liking_weight = 0.08, fresh_weight = 0.05;
 double const most_warmers = 3;
-}
+}  // namespace
 
 double Assign::warmers(Target const& t, Near n) const {
   double const ns = sharers(t, n);
@@ -177,7 +188,8 @@
 
 namespace {
 bool at_home(Wish const& w, Target const& t) {
-  return w.homes == nullptr || w.homes->empty() || std::find(w.homes->begin(), w.homes->end(), t.region) != w.homes->end();
+  return w.homes == nullptr || w.homes->empty() ||
+         std::find(w.homes->begin(), w.homes->end(), t.region) != w.homes->end();
 }
 }  // namespace
 
@@ -189,7 +201,9 @@
   bool any = false, any_region = false;
   for (u32 const i : members_[w.pool.v]) {
     Target const& t = t_[i];
-    if (t.ready && !t.misdirected && near(t) != Near::far && evac_.count(t.zone.v) == 0 && t.shun_until <= now && at_home(w, t)) any_region = true;
+    if (t.ready && !t.misdirected && near(t) != Near::far && evac_.count(t.zone.v) == 0 && t.shun_until <= now &&
+        at_home(w, t))
+      any_region = true;
   }
   for (u32 const i : members_[w.pool.v]) {
     Target& t = t_[i];
@@ -277,7 +291,9 @@
   t.bad = old + 0.2 * (x - old);
   t.bad_at = now;
 }
-void Assign::failed(ServerIx s, Secs now) { mark(t_[s.v], 1, now); }
+void Assign::failed(ServerIx s, Secs now) {
+  mark(t_[s.v], 1, now);
+}
 
 void Assign::idle_lost(ServerIx s, Secs idle, Secs now) {
   Target& t = t_[s.v];
@@ -301,7 +317,9 @@
   mark(t_[s.v], 1, now);
   t_[s.v].shun_until = std::max(t_[s.v].shun_until, now + 0.05 + 0.1 * random01());
 }
-void Assign::misdirected(ServerIx s) { t_[s.v].misdirected = true; }
+void Assign::misdirected(ServerIx s) {
+  t_[s.v].misdirected = true;
+}
 
 void Assign::cold(ServerIx s, Secs left, Secs now) {
   Target& t = t_[s.v];
@@ -311,7 +329,8 @@
 
 std::size_t Assign::live() const {
   std::size_t n = 0;
-  for (auto const& [id, i] : by_id_) n += t_[i].ready ? 1 : 0;
+  for (auto const& [id, i] : by_id_)
+    n += t_[i].ready ? 1 : 0;
   return n;
 }
 
--- a/packages/assign/include/assign/assign.hpp
+++ b/packages/assign/include/assign/assign.hpp
@@ -89,12 +89,12 @@
   void sites(std::map<std::string, u32> const& by_zone);
 
   Choice choose(Wish const& w, Secs now);
-  void took(ServerIx s, Secs now);                     // an errand goes there
+  void took(ServerIx s, Secs now);                       // an errand goes there
   void gave(ServerIx s, Secs lat, bool good, Secs now);  // it came back
-  void dropped(ServerIx s);                            // it ended with nothing learned
-  void shun(ServerIx s, Secs base, Secs now);          // passive health
+  void dropped(ServerIx s);                              // it ended with nothing learned
+  void shun(ServerIx s, Secs base, Secs now);            // passive health
   void full(ServerIx s, Secs now);
-  void failed(ServerIx s, Secs now);                   // it answered that it could not
+  void failed(ServerIx s, Secs now);  // it answered that it could not
   // A channel idle for so long was reset unanswered: others so old are not trusted.
   void idle_lost(ServerIx s, Secs idle, Secs now);
   Secs idle_safe(ServerIx s, bool repeatable, Secs now) const;
--- a/packages/assign/include/assign/budget.hpp
+++ b/packages/assign/include/assign/budget.hpp
@@ -34,7 +34,8 @@
   };
   Secs grain() const { return window_ / 10; }
   Slot& bump(Secs now) {
-    while (!q_.empty() && now - q_.front().at > window_ + grain()) q_.pop_front();
+    while (!q_.empty() && now - q_.front().at > window_ + grain())
+      q_.pop_front();
     if (q_.empty() || now - q_.back().at >= grain()) q_.push_back(Slot{now, 0, 0});
     return q_.back();
   }
--- a/packages/atlas/forecast.cpp
+++ b/packages/atlas/forecast.cpp
@@ -15,17 +15,22 @@
 // at a server, in a server's queue, done, unserved.
 class Play {
  public:
-  Play(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p, std::set<std::string> const& out) : c_(c), p_(p), gone_(gone), out_(out), rnd_(p.seed * 2654435761u + 7) {
+  Play(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p, std::set<std::string> const& out)
+      : c_(c), p_(p), gone_(gone), out_(out), rnd_(p.seed * 2654435761u + 7) {
     double total = 0;
     for (Survey const& s : c.surveys)
-      for (LaneRate const& l : s.lanes) total += l.rate;
-    double const scale = total <= 0 ? 1 : std::min(1.0, static_cast<double>(p.most_errands) / (total * (p.seconds + p.warm)));
+      for (LaneRate const& l : s.lanes)
+        total += l.rate;
+    double const scale =
+        total <= 0 ? 1 : std::min(1.0, static_cast<double>(p.most_errands) / (total * (p.seconds + p.warm)));
     until_ = std::max(1.0, p.seconds * scale) + p.warm * scale;
     warm_ = p.warm * scale;
-    for (std::size_t i = 0; i < c.servers.size(); ++i) by_id_[c.servers[i].id] = i;
+    for (std::size_t i = 0; i < c.servers.size(); ++i)
+      by_id_[c.servers[i].id] = i;
     servers_.resize(c.servers.size());
     speeds();
-    for (Survey const& s : c.surveys) add_proxy(s);
+    for (Survey const& s : c.surveys)
+      add_proxy(s);
   }
 
   void run() {
@@ -122,7 +127,8 @@
       rows.push_back(std::move(x));
     }
     Assign& as = *p->as;
-    for (CapPool const& x : c_.pools) as.rule(as.pool(x.name), PoolRule{static_cast<double>(x.connLimit), x.coldRateS, 0});
+    for (CapPool const& x : c_.pools)
+      as.rule(as.pool(x.name), PoolRule{static_cast<double>(x.connLimit), x.coldRateS, 0});
     as.table(rows, 0);
     as.sites(sites);
     for (std::size_t i = 0; i < as.targets().size(); ++i) {
@@ -139,7 +145,8 @@
     as.evacuated(out, 0);
     std::size_t const pi = proxies_.size();
     proxies_.push_back(std::move(p));
-    for (std::size_t i = 0; i < s.lanes.size(); ++i) next_arrival(pi, i, 0);
+    for (std::size_t i = 0; i < s.lanes.size(); ++i)
+      next_arrival(pi, i, 0);
   }
 
   void next_arrival(std::size_t proxy, std::size_t lane, Secs now) {
@@ -167,7 +174,8 @@
     std::vector<PlaceIx> homes;
     Wish w;
     w.pool = p.as->pool(l.pool);
-    for (std::string const& h : l.homes) homes.push_back(p.as->region(h));
+    for (std::string const& h : l.homes)
+      homes.push_back(p.as->region(h));
     if (def != nullptr) w.setpoint = def->setpointS;
     w.homes = &homes;
     w.bulky = u01() < l.bulky;
@@ -183,8 +191,10 @@
     e.sent = e.at;
     if (counts) flows[{c_.servers[it->second].zone, l.lane}] += 1;
     Server& s = servers_[it->second];
-    if (s.busy < c_.servers[it->second].capacity) begin(s, e, e.at);
-    else s.queue.push_back(e);
+    if (s.busy < c_.servers[it->second].capacity)
+      begin(s, e, e.at);
+    else
+      s.queue.push_back(e);
   }
 
   void begin(Server& s, Event e, Secs now) {
@@ -225,11 +235,13 @@
 std::map<FlowKey, double> received(Capture const& c) {
   std::map<FlowKey, double> m;
   for (Survey const& s : c.surveys)
-    for (SentRate const& x : s.sent) m[{x.zone, x.lane}] += x.rate;
+    for (SentRate const& x : s.sent)
+      m[{x.zone, x.lane}] += x.rate;
   return m;
 }
 
-Forecast forecast(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p, std::set<std::string> const& out) {
+Forecast forecast(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p,
+                  std::set<std::string> const& out) {
   Forecast f;
   f.takenAt = c.takenAt;
   f.gone.assign(gone.begin(), gone.end());
@@ -248,8 +260,10 @@
   };
   auto const now = received(c);
   std::set<FlowKey> keys;
-  for (auto const& [k, n] : now) keys.insert(k);
-  for (auto const& [k, n] : play.flows) keys.insert(k);
+  for (auto const& [k, n] : now)
+    keys.insert(k);
+  for (auto const& [k, n] : play.flows)
+    keys.insert(k);
   auto at = [](auto const& m, auto const& k) {
     auto const it = m.find(k);
     return it == m.end() ? 0.0 : it->second;
@@ -303,8 +317,10 @@
 double compare(Forecast const& f, Capture const& c, std::vector<Difference>& out) {
   auto const got = received(c);
   std::map<FlowKey, std::pair<double, double>> m;
-  for (LaneFlow const& l : f.flows) m[{l.zone, l.lane}].first = l.after;
-  for (auto const& [k, n] : got) m[k].second = n;
+  for (LaneFlow const& l : f.flows)
+    m[{l.zone, l.lane}].first = l.after;
+  for (auto const& [k, n] : got)
+    m[k].second = n;
   double off = 0, all = 0;
   for (auto const& [k, v] : m) {
     Difference d;
--- a/packages/atlas/include/atlas/moves.hpp
+++ b/packages/atlas/include/atlas/moves.hpp
@@ -15,15 +15,15 @@
   DB_RECORD(RegionAfter, (std::string, region), (u32, nodes), (double, now), (double, load), (double, peak));
 };
 struct Wave {
-  DB_RECORD(Wave, (std::vector<std::string>, fronts), (std::vector<std::string>, nodes), (std::vector<RegionAfter>, regions),
-            (std::vector<KindRate>, kinds));
+  DB_RECORD(Wave, (std::vector<std::string>, fronts), (std::vector<std::string>, nodes),
+            (std::vector<RegionAfter>, regions), (std::vector<KindRate>, kinds));
 };
 struct Lack {  // what a region's other nodes could not carry
   DB_RECORD(Lack, (std::string, region), (std::string, kind), (double, rate), (double, load), (double, wanted));
 };
 struct WavePlan {
-  DB_RECORD(WavePlan, (double, takenAt), (double, headroom), (std::vector<std::string>, silent), (bool, partial), (std::vector<Wave>, waves),
-            (std::vector<Lack>, lacks), (bool, fits));
+  DB_RECORD(WavePlan, (double, takenAt), (double, headroom), (std::vector<std::string>, silent), (bool, partial),
+            (std::vector<Wave>, waves), (std::vector<Lack>, lacks), (bool, fits));
 };
 
 // The state of things with `out` not named by the directory any more, once clients followed.
--- a/packages/atlas/include/atlas/orders.hpp
+++ b/packages/atlas/include/atlas/orders.hpp
@@ -14,11 +14,12 @@
 Order node_order(Capture const& c, WavePlan const& p, u64 id, double headroom, double patience);
 
 struct Leaving {  // in the order in which they would leave if nothing changed
-  DB_RECORD(Leaving, (std::string, id), (std::string, service), (std::string, zone), (u32, uploads), (double, bytes), (u32, keyed), (u32, sessions));
+  DB_RECORD(Leaving, (std::string, id), (std::string, service), (std::string, zone), (u32, uploads), (double, bytes),
+            (u32, keyed), (u32, sessions));
 };
 struct RotationPlan {
-  DB_RECORD(RotationPlan, (double, takenAt), (u32, maxUnavailable), (double, headroom), (bool, partial), (std::vector<Leaving>, order),
-            (std::vector<Lack>, lacks), (Forecast, worst), (bool, fits));
+  DB_RECORD(RotationPlan, (double, takenAt), (u32, maxUnavailable), (double, headroom), (bool, partial),
+            (std::vector<Leaving>, order), (std::vector<Lack>, lacks), (Forecast, worst), (bool, fits));
 };
 // worst: the proxies' own choice played without the first of each service that may be out at once.
 RotationPlan plan_rotation(Capture const& c, std::vector<std::string> const& ids, u32 max_unavailable, double headroom);
--- a/packages/atlas/include/atlas/survey.hpp
+++ b/packages/atlas/include/atlas/survey.hpp
@@ -19,7 +19,8 @@
 // Errands a second that came in for a lane, by the service they drew and the homes that
 // bind them (their lane's and their partner's; none: any region).
 struct LaneRate {
-  DB_RECORD(LaneRate, (std::string, lane), (std::string, pool), (double, rate), (double, bulky), (std::vector<std::string>, homes));
+  DB_RECORD(LaneRate, (std::string, lane), (std::string, pool), (double, rate), (double, bulky),
+            (std::vector<std::string>, homes));
 };
 struct SentRate {  // tries a second that went to servers of a zone
   DB_RECORD(SentRate, (std::string, lane), (std::string, zone), (double, rate));
@@ -33,8 +34,8 @@
 };
 struct Survey {
   DB_RECORD(Survey, (u64, id), (std::string, front), (std::string, zone), (std::string, region), (double, span),
-            (std::vector<LaneRate>, lanes), (std::vector<SentRate>, sent), (std::vector<Speed>, speeds), (std::string, node),
-            (std::vector<Held>, held), (std::vector<Dropped>, dropped));
+            (std::vector<LaneRate>, lanes), (std::vector<SentRate>, sent), (std::vector<Speed>, speeds),
+            (std::string, node), (std::vector<Held>, held), (std::vector<Dropped>, dropped));
 };
 
 // Rates over the last whole seconds. Invariant: a rate counts each errand once, in
@@ -42,7 +43,8 @@
 class Observer {
  public:
   static constexpr std::size_t seconds = 10;
-  void errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes, bool bulky, Secs now);
+  void errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes, bool bulky,
+              Secs now);
   void sent(std::string const& lane, std::string const& zone, Secs now);
   void fill(Survey& s, Secs now) const;
 
@@ -69,7 +71,7 @@
   Secs first_ = -1;
   using CameKey = std::tuple<std::string, std::string, std::vector<std::string>>;
   std::map<CameKey, std::pair<Ring, Ring>> came_;  // (lane, pool, homes): all, bulky ones
-  std::map<Key, Ring> went_;                   // (lane, zone)
+  std::map<Key, Ring> went_;                       // (lane, zone)
 };
 
 }  // namespace dockbend
--- a/packages/atlas/moves.cpp
+++ b/packages/atlas/moves.cpp
@@ -16,12 +16,14 @@
 }
 
 struct Before {
-  std::map<std::string, CapSite const*> sites;                        // by front
-  std::map<std::string, std::map<std::string, double>> kinds;         // front -> kind -> rate
+  std::map<std::string, CapSite const*> sites;                 // by front
+  std::map<std::string, std::map<std::string, double>> kinds;  // front -> kind -> rate
   explicit Before(Capture const& c) {
-    for (CapSite const& s : c.sites) sites[s.front] = &s;
+    for (CapSite const& s : c.sites)
+      sites[s.front] = &s;
     for (Survey const& v : c.surveys)
-      for (LaneRate const& l : v.lanes) kinds[v.front][kind_of(c, l.lane)] += l.rate;
+      for (LaneRate const& l : v.lanes)
+        kinds[v.front][kind_of(c, l.lane)] += l.rate;
   }
 };
 
@@ -38,7 +40,8 @@
   who.region = from.region;
   for (int i = 0; i < draws; ++i) {
     auto const l = sel.choose(table, who);
-    for (Site const* s : l) m[s->front] += 1.0 / static_cast<double>(l.size()) / draws;
+    for (Site const* s : l)
+      m[s->front] += 1.0 / static_cast<double>(l.size()) / draws;
   }
   return m;
 }
@@ -74,9 +77,11 @@
         for (auto const& [front, part] : to) {
           load[front] += s->load * part / steps;
           if (auto const it = b.kinds.find(s->front); it != b.kinds.end())
-            for (auto const& [kind, r] : it->second) kinds[front][kind] += r * part / steps;
+            for (auto const& [kind, r] : it->second)
+              kinds[front][kind] += r * part / steps;
         }
-      for (Site& x : left) x.load = load[x.front];
+      for (Site& x : left)
+        x.load = load[x.front];
     }
   Wave w;
   w.fronts.assign(out.begin(), out.end());
@@ -93,12 +98,14 @@
     r.now += s.load;
     before[s.region] += s.ready ? 1 : 0;
     if (auto const it = b.kinds.find(s.front); it != b.kinds.end())
-      for (auto const& [kind, x] : it->second) rates[{s.region, kind}].now += x;
+      for (auto const& [kind, x] : it->second)
+        rates[{s.region, kind}].now += x;
     if (out.count(s.front) > 0) continue;
     r.nodes += s.ready ? 1 : 0;
     r.load += load[s.front];
     if (s.ready) r.peak = std::max(r.peak, load[s.front]);
-    for (auto const& [kind, x] : kinds[s.front]) rates[{s.region, kind}].after += x;
+    for (auto const& [kind, x] : kinds[s.front])
+      rates[{s.region, kind}].after += x;
   }
   for (auto& [g, r] : regions) {
     r.now /= std::max(1u, before[g]);
@@ -122,7 +129,8 @@
 }
 
 // Which kinds find no place once the more important ones have theirs.
-void lacks_of(Capture const& c, Wave const& w, double headroom, std::set<std::string> const& touched, std::vector<Lack>& out) {
+void lacks_of(Capture const& c, Wave const& w, double headroom, std::set<std::string> const& touched,
+              std::vector<Lack>& out) {
   std::map<std::string, u32> rank;
   for (CapLane const& l : c.lanes) {
     auto const [it, fresh] = rank.try_emplace(l.kind, l.rank);
@@ -137,7 +145,8 @@
         kinds.push_back(&k);
         sum += std::max(k.now, k.after);
       }
-    std::sort(kinds.begin(), kinds.end(), [&](KindRate const* a, KindRate const* b) { return rank[a->kind] < rank[b->kind]; });
+    std::sort(kinds.begin(), kinds.end(),
+              [&](KindRate const* a, KindRate const* b) { return rank[a->kind] < rank[b->kind]; });
     double const bears = r.nodes == 0 || r.load <= 0 ? 0 : sum * (1 - headroom) / r.load;
     double taken = 0;
     bool any = false;
@@ -178,10 +187,13 @@
   std::set<std::string> dark;
   for (std::string const& f : fronts) {
     auto const it = b.sites.find(f);
-    if (it == b.sites.end() || !it->second->ready) dark.insert(f);
-    else todo[it->second->region].push_back(it->second);
+    if (it == b.sites.end() || !it->second->ready)
+      dark.insert(f);
+    else
+      todo[it->second->region].push_back(it->second);
   }
-  for (auto& [g, v] : todo) std::sort(v.begin(), v.end(), [](CapSite const* x, CapSite const* y) { return x->load < y->load; });
+  for (auto& [g, v] : todo)
+    std::sort(v.begin(), v.end(), [](CapSite const* x, CapSite const* y) { return x->load < y->load; });
   bool first = true;
   while (first || std::any_of(todo.begin(), todo.end(), [](auto const& x) { return !x.second.empty(); })) {
     std::map<std::string, std::size_t> take;
@@ -206,7 +218,8 @@
       touched.clear();
       bool least = true;
       for (auto const& [g, v] : todo) {
-        for (std::size_t i = 0; i < take[g]; ++i) out.insert(v[i]->front);
+        for (std::size_t i = 0; i < take[g]; ++i)
+          out.insert(v[i]->front);
         if (take[g] > 0) touched.insert(g);
         least = least && take[g] <= 1;
       }
@@ -222,7 +235,8 @@
     }
     if (!p.fits) break;
     if (!out.empty()) p.waves.push_back(std::move(w));
-    for (auto& [g, v] : todo) v.erase(v.begin(), v.begin() + static_cast<long>(take[g]));
+    for (auto& [g, v] : todo)
+      v.erase(v.begin(), v.begin() + static_cast<long>(take[g]));
     first = false;
   }
   return p;
--- a/packages/atlas/orders.cpp
+++ b/packages/atlas/orders.cpp
@@ -43,7 +43,8 @@
 
 Order node_order(Capture const& c, WavePlan const& p, u64 id, double headroom, double patience) {
   std::map<std::string, std::string> node;
-  for (CapSite const& s : c.sites) node[s.front] = s.node;
+  for (CapSite const& s : c.sites)
+    node[s.front] = s.node;
   Order o;
   o.id = std::to_string(id);
   o.headroom = headroom;
@@ -62,14 +63,16 @@
   return o;
 }
 
-RotationPlan plan_rotation(Capture const& c, std::vector<std::string> const& ids, u32 max_unavailable, double headroom) {
+RotationPlan plan_rotation(Capture const& c, std::vector<std::string> const& ids, u32 max_unavailable,
+                           double headroom) {
   RotationPlan p;
   p.takenAt = c.takenAt;
   p.maxUnavailable = max_unavailable;
   p.headroom = headroom;
   p.partial = !c.silent.empty() || !c.settled;
   std::map<std::string, std::string> region;
-  for (CapZone const& z : c.zones) region[z.zone] = z.region;
+  for (CapZone const& z : c.zones)
+    region[z.zone] = z.region;
   std::map<std::string, SeenServer> all;
   for (CapServer const& s : c.servers) {
     SeenServer x;
@@ -87,7 +90,8 @@
     for (Held const& h : v.held)
       if (auto const it = all.find(h.id); it != all.end()) it->second.held.add(h);
   std::vector<SeenServer const*> order;
-  for (std::string const& id : ids) order.push_back(&all[id]);
+  for (std::string const& id : ids)
+    order.push_back(&all[id]);
   std::sort(order.begin(), order.end(), [](SeenServer const* a, SeenServer const* b) { return leaves_before(*a, *b); });
   std::map<std::string, u32> taken;
   std::set<std::string> out;
@@ -107,7 +111,8 @@
   p.fits = p.worst.fits;
   std::map<std::pair<std::string, std::string>, std::pair<double, double>> by;  // (service, region): slots, used
   std::set<std::string> touched;
-  for (std::string const& id : out) touched.insert(all[id].service);
+  for (std::string const& id : out)
+    touched.insert(all[id].service);
   for (ZoneLoad const& z : p.worst.loads) {
     auto& [slots, used] = by[{z.service, region[z.zone]}];
     slots += z.slots;
@@ -144,7 +149,8 @@
     o.units.push_back(std::move(u));
     services.insert(l.service);
   }
-  for (CapServer const& s : c.servers) had[s.service] += s.ready ? 1 : 0;
+  for (CapServer const& s : c.servers)
+    had[s.service] += s.ready ? 1 : 0;
   for (std::string const& s : services) {
     Had h;
     h.service = s;
--- a/packages/atlas/survey.cpp
+++ b/packages/atlas/survey.cpp
@@ -5,17 +5,22 @@
 
 namespace dockbend {
 namespace {
-u64 second_of(Secs now) { return static_cast<u64>(std::max(0.0, now)) + 1; }
+u64 second_of(Secs now) {
+  return static_cast<u64>(std::max(0.0, now)) + 1;
+}
 }  // namespace
 
-void Observer::errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes, bool bulky, Secs now) {
+void Observer::errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes,
+                      bool bulky, Secs now) {
   if (first_ < 0) first_ = now;
   auto& [all, big] = came_[{lane, pool, homes}];
   all.add(second_of(now));
   if (bulky) big.add(second_of(now));
 }
 
-void Observer::sent(std::string const& lane, std::string const& zone, Secs now) { went_[{lane, zone}].add(second_of(now)); }
+void Observer::sent(std::string const& lane, std::string const& zone, Secs now) {
+  went_[{lane, zone}].add(second_of(now));
+}
 
 void Observer::fill(Survey& s, Secs now) const {
   u64 const sec = second_of(now);
--- a/packages/catalog/catalog.cpp
+++ b/packages/catalog/catalog.cpp
@@ -25,7 +25,8 @@
     double const left = std::max(0.05, 1.0 - s->load);
     v.push_back({s, tier, std::pow(random01(), 1.0 / (left * left))});
   }
-  std::sort(v.begin(), v.end(), [](Rated const& a, Rated const& b) { return a.tier != b.tier ? a.tier < b.tier : a.r > b.r; });
+  std::sort(v.begin(), v.end(),
+            [](Rated const& a, Rated const& b) { return a.tier != b.tier ? a.tier < b.tier : a.r > b.r; });
   // Two of the nearest tier and one of the next: a list whose machines all stand
   // in one zone is worth nothing when that zone is lost. One and two when the zone is
   // busy. The last tier is for those who have nothing nearer.
--- a/packages/catalog/include/catalog/catalog.hpp
+++ b/packages/catalog/include/catalog/catalog.hpp
@@ -17,9 +17,9 @@
   bool ready = false;               // dynamic
   double load = 0;                  // dynamic: share of its processor or link in use, 0..1
   Secs heard = 0;
-  u64 channel = 0;   // of the site's own registration here; 0: told by a mate
-  std::string via;   // the directory that is the site's primary; empty: this one
-  DrainWord drain;   // what it says of itself while it is being drained
+  u64 channel = 0;       // of the site's own registration here; 0: told by a mate
+  std::string via;       // the directory that is the site's primary; empty: this one
+  DrainWord drain;       // what it says of itself while it is being drained
   u64 strays = 0;        // what its agent dropped because no open question fits it
   bool current = false;  // it holds the configuration in force, as far as is known
 };
@@ -38,7 +38,7 @@
 struct NearSelector {
   std::size_t most = 3;
   double pressed = 0.5;  // a zone over this on the whole sends more to its region
-  double busy = 0.8;  // a site over this is good enough only if no other is
+  double busy = 0.8;     // a site over this is good enough only if no other is
   std::vector<Site const*> choose(std::vector<Site const*> const& table, Consumer const& c) const;
 };
 
@@ -68,10 +68,12 @@
   }
   void drop(std::string const& front) { rows_.erase(front); }
   void expire(Secs now) {
-    for (auto it = rows_.begin(); it != rows_.end();) it = now - it->second.heard > life_ ? rows_.erase(it) : std::next(it);
+    for (auto it = rows_.begin(); it != rows_.end();)
+      it = now - it->second.heard > life_ ? rows_.erase(it) : std::next(it);
   }
   void forgive(Secs now) {
-    for (auto& [f, s] : rows_) s.heard = now;
+    for (auto& [f, s] : rows_)
+      s.heard = now;
   }
   // cordoned: sites that get no new clients while another is left.
   template <class Names = std::set<std::string>>
--- a/packages/collation/collation.cpp
+++ b/packages/collation/collation.cpp
@@ -117,32 +117,53 @@
     char const* const d = "duties";
     Walks const w{1, 1000, 200};
     v.push_back(made<Registers<Sound>>(r, no_fault, "the register as it is", rounds(3), w));
-    v.push_back(made<Registers<RepliesBeforeWrite>>(r, "replies-before-write", "an acceptor's answer leaves before its write", rounds(3), w));
-    v.push_back(made<Registers<AcceptsBelowPromise>>(r, "accepts-below-promise", "an acceptor takes a ballot below its promise", rounds(3), w));
-    v.push_back(made<Registers<VotesForOtherLife>>(r, "votes-for-other-life", "an acceptor takes what was meant for another disk", rounds(3), w));
-    v.push_back(made<Registers<CountsNewRosterOnly>>(r, "counts-new-roster-only", "a step is won by a majority of the new roster", rounds(3), w));
-    v.push_back(made<Registers<CountsOldRosterOnly>>(r, "counts-old-roster-only", "a step is won by a majority of the old roster", rounds(3), w));
-    v.push_back(made<Registers<WinsByOneTooFew>>(r, "wins-by-one-too-few", "one less than a majority wins", rounds(3), w));
-    v.push_back(made<Registers<AdoptsNothing>>(r, "adopts-nothing", "a proposer goes by its own value, not by the newest found", rounds(3), w));
-    v.push_back(made<Registers<StepsOnUnwonStep>>(r, "steps-on-unwon-step", "any step found counts as won (the code before)", rounds(3), w));
-    v.push_back(made<Registers<LearnsByNewRosterOnly>>(r, "learns-by-new-roster-only", "learning without a round asks the new roster only", rounds(3), w));
-    v.push_back(made<Registers<AppliesOnAnyBase>>(r, "applies-on-any-base", "a delta goes on whatever value is there", rounds(3), w));
-    v.push_back(made<Registers<ForgetsOnRestart>>(r, "forgets-on-restart", "a promise is not read back from disk", restarts(), Walks{1, 2000, 150}));
+    v.push_back(made<Registers<RepliesBeforeWrite>>(r, "replies-before-write",
+                                                    "an acceptor's answer leaves before its write", rounds(3), w));
+    v.push_back(made<Registers<AcceptsBelowPromise>>(r, "accepts-below-promise",
+                                                     "an acceptor takes a ballot below its promise", rounds(3), w));
+    v.push_back(made<Registers<VotesForOtherLife>>(r, "votes-for-other-life",
+                                                   "an acceptor takes what was meant for another disk", rounds(3), w));
+    v.push_back(made<Registers<CountsNewRosterOnly>>(r, "counts-new-roster-only",
+                                                     "a step is won by a majority of the new roster", rounds(3), w));
+    v.push_back(made<Registers<CountsOldRosterOnly>>(r, "counts-old-roster-only",
+                                                     "a step is won by a majority of the old roster", rounds(3), w));
+    v.push_back(
+        made<Registers<WinsByOneTooFew>>(r, "wins-by-one-too-few", "one less than a majority wins", rounds(3), w));
+    v.push_back(made<Registers<AdoptsNothing>>(
+        r, "adopts-nothing", "a proposer goes by its own value, not by the newest found", rounds(3), w));
+    v.push_back(made<Registers<StepsOnUnwonStep>>(r, "steps-on-unwon-step",
+                                                  "any step found counts as won (the code before)", rounds(3), w));
+    v.push_back(made<Registers<LearnsByNewRosterOnly>>(
+        r, "learns-by-new-roster-only", "learning without a round asks the new roster only", rounds(3), w));
+    v.push_back(made<Registers<AppliesOnAnyBase>>(r, "applies-on-any-base", "a delta goes on whatever value is there",
+                                                  rounds(3), w));
+    v.push_back(made<Registers<ForgetsOnRestart>>(r, "forgets-on-restart", "a promise is not read back from disk",
+                                                  restarts(), Walks{1, 2000, 150}));
     v.push_back(made<Ledgers<Sound>>(l, no_fault, "claims as they are", claims(5), Walks{1, 1000, 120}));
-    v.push_back(made<Ledgers<VotesBeforeWhole>>(l, "votes-before-whole", "a new disk grants before it copied", replacement(), Walks{1, 2000, 60}));
-    v.push_back(made<Ledgers<IgnoresEpoch>>(l, "ignores-epoch", "a disk grants whatever epoch is named", replacement(), Walks{1, 3000, 60}));
-    v.push_back(made<Ledgers<CopiesFromTooFew>>(l, "copies-from-too-few", "a new disk copies from one less than a majority", replacement(), Walks{1, 2000, 60}));
+    v.push_back(made<Ledgers<VotesBeforeWhole>>(l, "votes-before-whole", "a new disk grants before it copied",
+                                                replacement(), Walks{1, 2000, 60}));
+    v.push_back(made<Ledgers<IgnoresEpoch>>(l, "ignores-epoch", "a disk grants whatever epoch is named", replacement(),
+                                            Walks{1, 3000, 60}));
+    v.push_back(made<Ledgers<CopiesFromTooFew>>(l, "copies-from-too-few",
+                                                "a new disk copies from one less than a majority", replacement(),
+                                                Walks{1, 2000, 60}));
     Walks const rare{1, 0, 0};  // too rare for walks; the tests show it by a trace
     Plan five = replacement();
     five.nodes = 5;
-    v.push_back(made<Ledgers<CopiesUnmoved>>(l, "copies-unmoved", "a new disk copies from disks that still grant under the old epoch", five, rare));
+    v.push_back(made<Ledgers<CopiesUnmoved>>(
+        l, "copies-unmoved", "a new disk copies from disks that still grant under the old epoch", five, rare));
     five.lates = five.restarts = 1;
-    v.push_back(made<Ledgers<CopiesUnsynced>>(l, "copies-unsynced", "it copies from disks whose move is not on disk yet", five, rare));
-    v.push_back(made<Ledgers<ShrinksFreely>>(l, "shrinks-freely", "removals without regard to claims won before", claims(5), Walks{1, 2000, 120}));
-    v.push_back(made<Ledgers<ReturnsAsWhole>>(l, "returns-as-whole", "a removed disk comes back with its old ledger", out_and_back(), Walks{1, 2000, 80}));
+    v.push_back(made<Ledgers<CopiesUnsynced>>(l, "copies-unsynced",
+                                              "it copies from disks whose move is not on disk yet", five, rare));
+    v.push_back(made<Ledgers<ShrinksFreely>>(l, "shrinks-freely", "removals without regard to claims won before",
+                                             claims(5), Walks{1, 2000, 120}));
+    v.push_back(made<Ledgers<ReturnsAsWhole>>(l, "returns-as-whole", "a removed disk comes back with its old ledger",
+                                              out_and_back(), Walks{1, 2000, 80}));
     v.push_back(made<Duties<Sound>>(d, no_fault, "duties as they are", terms(), Walks{1, 300, 300}));
-    v.push_back(made<Duties<LeasesFromAnswer>>(d, "leases-from-answer", "a lease is counted from the answer", terms(), Walks{1, 300, 300}));
-    v.push_back(made<Duties<ActsWhileHanding>>(d, "acts-while-handing", "a holder acts on after it was told to hand over", terms(), Walks{1, 300, 300}));
+    v.push_back(made<Duties<LeasesFromAnswer>>(d, "leases-from-answer", "a lease is counted from the answer", terms(),
+                                               Walks{1, 300, 300}));
+    v.push_back(made<Duties<ActsWhileHanding>>(
+        d, "acts-while-handing", "a holder acts on after it was told to hand over", terms(), Walks{1, 300, 300}));
     return v;
   }();
   return all;
@@ -156,7 +177,8 @@
 
 std::string write_plan(Plan const& p) {
   std::string s;
-  for (PlanField const& f : plan_fields) s += (s.empty() ? "" : " ") + std::string(f.name) + "=" + std::to_string(p.*f.at);
+  for (PlanField const& f : plan_fields)
+    s += (s.empty() ? "" : " ") + std::string(f.name) + "=" + std::to_string(p.*f.at);
   return s;
 }
 
@@ -181,7 +203,8 @@
   for (std::string w; in >> w;) {
     auto const eq = w.find('=');
     std::string const name = w.substr(0, eq);
-    auto const f = std::find_if(plan_fields.begin(), plan_fields.end(), [&](PlanField const& x) { return name == x.name; });
+    auto const f =
+        std::find_if(plan_fields.begin(), plan_fields.end(), [&](PlanField const& x) { return name == x.name; });
     if (eq == std::string::npos || f == plan_fields.end()) throw BadTrace("plan: no such bound: " + w);
     p.*f->at = static_cast<u32>(number(w.substr(eq + 1), "plan: " + name, 1000000));
   }
@@ -192,7 +215,8 @@
 
 std::string write_trace(Recorded const& r) {
   std::ostringstream o;
-  o << "model " << r.of->model << "\nfault " << r.of->fault << "\nplan " << write_plan(r.plan) << "\nseed " << r.seed << "\nbreach " << r.breach << "\n";
+  o << "model " << r.of->model << "\nfault " << r.of->fault << "\nplan " << write_plan(r.plan) << "\nseed " << r.seed
+    << "\nbreach " << r.breach << "\n";
   Played const p = r.of->play(r.plan, r.trace);
   for (std::size_t i = 0; i < r.trace.size(); ++i) {
     Action const& a = r.trace[i];
@@ -216,11 +240,16 @@
     std::string word, rest;
     if (!(l >> word) || word[0] == '#') continue;
     std::getline(l >> std::ws, rest);
-    if (word == "model") model = rest;
-    else if (word == "fault") fault = rest;
-    else if (word == "seed") r.seed = number(rest, at, ~0ULL);
-    else if (word == "breach") r.breach = rest;
-    else if (word == "plan") r.plan = read_plan(rest, Plan{});
+    if (word == "model")
+      model = rest;
+    else if (word == "fault")
+      fault = rest;
+    else if (word == "seed")
+      r.seed = number(rest, at, ~0ULL);
+    else if (word == "breach")
+      r.breach = rest;
+    else if (word == "plan")
+      r.plan = read_plan(rest, Plan{});
     else if (word == "step") {
       r.of = r.of == nullptr ? find(model, fault) : r.of;
       if (r.of == nullptr) throw BadTrace(at + ": no such model and fault before the first step");
--- a/packages/collation/include/collation/duties.hpp
+++ b/packages/collation/include/collation/duties.hpp
@@ -13,7 +13,8 @@
 class Duties {
  public:
   enum class Do : u8 { tick, ask, apply, answer, lose, see, hand_over, restart };
-  static constexpr std::array<char const*, 8> words{"tick", "ask", "apply", "answer", "lose", "see", "hand_over", "restart"};
+  static constexpr std::array<char const*, 8> words{"tick", "ask", "apply",     "answer",
+                                                    "lose", "see", "hand_over", "restart"};
 
   explicit Duties(Plan const& p) : left_(p) {
     for (u32 i = 0; i < p.nodes; ++i) {
@@ -28,7 +29,9 @@
   }
 
   void actions(std::vector<Action>& v) const {
-    auto add = [&](Do d, u32 a = 0, u32 b = 0) { v.push_back(Action{static_cast<u8>(d), static_cast<u8>(a), static_cast<u8>(b), 0, 0}); };
+    auto add = [&](Do d, u32 a = 0, u32 b = 0) {
+      v.push_back(Action{static_cast<u8>(d), static_cast<u8>(a), static_cast<u8>(b), 0, 0});
+    };
     u32 const all = static_cast<u32>(nodes_.size());
     if (left_.ticks > 0) add(Do::tick);
     for (u32 i = 0; i < all; ++i) {
@@ -109,10 +112,12 @@
       left_.ticks = 1;
       step(Action{static_cast<u8>(Do::tick)});
       for (u32 k = 0; k < nodes_.size(); ++k)
-        for (Do const d : {Do::see, Do::apply, Do::answer, Do::ask, Do::apply, Do::answer, Do::see}) step(Action{static_cast<u8>(d), static_cast<u8>(k)});
+        for (Do const d : {Do::see, Do::apply, Do::answer, Do::ask, Do::apply, Do::answer, Do::see})
+          step(Action{static_cast<u8>(d), static_cast<u8>(k)});
     }
     bool any = false;
-    for (Node const& n : nodes_) any = any || acts(n);
+    for (Node const& n : nodes_)
+      any = any || acts(n);
     if (!any && breach_.empty()) breach_ = "nobody carries the duty out once the faults have ended";
   }
 
@@ -123,16 +128,20 @@
       h = mixed(h, n.seen == reg_);
       Term const* s = n.seen ? n.seen->term("usage") : nullptr;
       h = mixed(h, s == nullptr ? 0 : s->fence << 8 | s->counter);
-      h = mixed(h, n.asked ? (static_cast<u64>(n.asked->move) << 8 | n.asked->fence << 16 | n.asked->counter << 24) + static_cast<u64>(now_ - n.asked->at + 1) : 0);
+      h = mixed(h, n.asked ? (static_cast<u64>(n.asked->move) << 8 | n.asked->fence << 16 | n.asked->counter << 24) +
+                                 static_cast<u64>(now_ - n.asked->at + 1)
+                           : 0);
       h = mixed(h, u64{n.reached} << 1 | n.stood);
       h = mixed(h, n.duty.fence() << 2 | u64{n.duty.holds()} << 1 | n.duty.handing());
       // What it would do in the next seconds, if it heard nothing.
       for (int k = 0; k < 5; ++k) {
         Duty d = n.duty;
-        h = mixed(h, static_cast<u64>(d.step(now_ + k, true)) << 2 | u64{d.may_act(now_ + k, 0)} << 1 | u64{d.free(now_ + k)});
+        h = mixed(h, static_cast<u64>(d.step(now_ + k, true)) << 2 | u64{d.may_act(now_ + k, 0)} << 1 |
+                         u64{d.free(now_ + k)});
       }
     }
-    for (PlanField const& f : plan_fields) h = mixed(h, left_.*f.at);
+    for (PlanField const& f : plan_fields)
+      h = mixed(h, left_.*f.at);
     return h;
   }
 
@@ -168,7 +177,8 @@
   }
   void judge() {
     int k = 0;
-    for (Node const& n : nodes_) k += acts(n) ? 1 : 0;
+    for (Node const& n : nodes_)
+      k += acts(n) ? 1 : 0;
     if (k > 1) breach_ = "two nodes act in one duty at once";
   }
 
--- a/packages/collation/include/collation/explore.hpp
+++ b/packages/collation/include/collation/explore.hpp
@@ -27,27 +27,38 @@
   u32 spares = 0;     // empty disks that may join
   u32 proposers = 2;  // nodes that bring changes of their own, or holders that claim
   u32 proposals = 2;
-  u32 items = 1;      // generations of one item; each proposer has a body of its own for each
+  u32 items = 1;  // generations of one item; each proposer has a body of its own for each
   u32 joins = 0, leaves = 0, swaps = 0;
   u32 restarts = 0, wipes = 0;
-  u32 repeats = 0;    // messages that come twice
-  u32 holds = 0;      // answers that wait on their way
-  u32 lates = 0;      // writes that wait, and answers with them
-  u32 cuts = 0;       // pairs cut, one way each
+  u32 repeats = 0;  // messages that come twice
+  u32 holds = 0;    // answers that wait on their way
+  u32 lates = 0;    // writes that wait, and answers with them
+  u32 cuts = 0;     // pairs cut, one way each
   u32 drops = 0;
-  u32 tells = 0;      // what is on disk told to a mate
-  u32 ticks = 0;      // seconds of a model's clock
+  u32 tells = 0;  // what is on disk told to a mate
+  u32 ticks = 0;  // seconds of a model's clock
 };
 struct PlanField {
   char const* name;
   u32 Plan::*at;
 };
-inline constexpr std::array<PlanField, 17> plan_fields{{{"nodes", &Plan::nodes}, {"spares", &Plan::spares}, {"proposers", &Plan::proposers},
-                                                       {"proposals", &Plan::proposals}, {"items", &Plan::items}, {"joins", &Plan::joins},
-                                                       {"leaves", &Plan::leaves}, {"swaps", &Plan::swaps}, {"restarts", &Plan::restarts},
-                                                       {"wipes", &Plan::wipes}, {"repeats", &Plan::repeats}, {"holds", &Plan::holds},
-                                                       {"lates", &Plan::lates}, {"cuts", &Plan::cuts}, {"drops", &Plan::drops},
-                                                       {"tells", &Plan::tells}, {"ticks", &Plan::ticks}}};
+inline constexpr std::array<PlanField, 17> plan_fields{{{"nodes", &Plan::nodes},
+                                                        {"spares", &Plan::spares},
+                                                        {"proposers", &Plan::proposers},
+                                                        {"proposals", &Plan::proposals},
+                                                        {"items", &Plan::items},
+                                                        {"joins", &Plan::joins},
+                                                        {"leaves", &Plan::leaves},
+                                                        {"swaps", &Plan::swaps},
+                                                        {"restarts", &Plan::restarts},
+                                                        {"wipes", &Plan::wipes},
+                                                        {"repeats", &Plan::repeats},
+                                                        {"holds", &Plan::holds},
+                                                        {"lates", &Plan::lates},
+                                                        {"cuts", &Plan::cuts},
+                                                        {"drops", &Plan::drops},
+                                                        {"tells", &Plan::tells},
+                                                        {"ticks", &Plan::ticks}}};
 
 // A model: its whole state is a value.
 // - actions() lists what may happen next; step() does it, false if it can't be done now;
@@ -110,7 +121,8 @@
       auto const id = static_cast<u32>(ways.size() - 1);
       if (!n.breach().empty()) {
         out.breach = n.breach();
-        for (u32 i = id; i != 0; i = ways[i].from) out.trace.insert(out.trace.begin(), ways[i].by);
+        for (u32 i = id; i != 0; i = ways[i].from)
+          out.trace.insert(out.trace.begin(), ways[i].by);
         out.states = seen.size();
         ++out.depth;
         return out;
@@ -175,7 +187,8 @@
     Trace t;
     // Each walk has a taste of its own (swarm testing): what is rare in one is common in another.
     std::array<u32, 32> taste{};
-    for (u32& x : taste) x = 1U << 2 * std::uniform_int_distribution<u32>(0, 2)(rnd);
+    for (u32& x : taste)
+      x = 1U << 2 * std::uniform_int_distribution<u32>(0, 2)(rnd);
     u32 i = 0;
     for (; i < how.length && m.breach().empty(); ++i) {
       next.clear();
@@ -183,7 +196,8 @@
       if (next.empty()) break;
       // First the kind of action by its weight, then one of that kind.
       std::array<u32, 32> kinds{};
-      for (Action const& a : next) kinds[a.what] = M::weight(a) * taste[a.what];
+      for (Action const& a : next)
+        kinds[a.what] = M::weight(a) * taste[a.what];
       std::discrete_distribution<u32> pick(kinds.begin(), kinds.end());
       u32 const kind = pick(rnd);
       std::erase_if(next, [&](Action const& a) { return a.what != kind; });
--- a/packages/collation/include/collation/faults.hpp
+++ b/packages/collation/include/collation/faults.hpp
@@ -6,49 +6,89 @@
 
 struct Sound {
   // Register.
-  static constexpr bool replies_before_write = false;    // an acceptor's answer leaves before its write
+  static constexpr bool replies_before_write = false;  // an acceptor's answer leaves before its write
   static constexpr bool accepts_below_promise = false;
-  static constexpr bool votes_for_other_life = false;    // an acceptor takes what was meant for another disk
+  static constexpr bool votes_for_other_life = false;  // an acceptor takes what was meant for another disk
   static constexpr bool counts_new_roster_only = false;
   static constexpr bool counts_old_roster_only = false;
   static constexpr bool wins_by_one_too_few = false;
-  static constexpr bool adopts_nothing = false;          // a proposer goes by its own value only
-  static constexpr bool steps_on_unwon_step = false;     // any step found counts as won
+  static constexpr bool adopts_nothing = false;       // a proposer goes by its own value only
+  static constexpr bool steps_on_unwon_step = false;  // any step found counts as won
   static constexpr bool learns_by_new_roster_only = false;
-  static constexpr bool applies_on_any_base = false;     // a delta goes on whatever value is there
-  static constexpr bool forgets_on_restart = false;      // the promise is not read back
+  static constexpr bool applies_on_any_base = false;  // a delta goes on whatever value is there
+  static constexpr bool forgets_on_restart = false;   // the promise is not read back
   // Keys.
-  static constexpr bool votes_before_whole = false;      // a new disk claims before it copied
-  static constexpr bool ignores_epoch = false;           // a disk grants under any epoch
+  static constexpr bool votes_before_whole = false;  // a new disk claims before it copied
+  static constexpr bool ignores_epoch = false;       // a disk grants under any epoch
   static constexpr bool copies_from_too_few = false;
-  static constexpr bool copies_unmoved = false;          // from disks that still grant under the old epoch
-  static constexpr bool copies_unsynced = false;         // from disks whose move is not on disk yet
-  static constexpr bool shrinks_freely = false;          // removals without regard to claims won before
-  static constexpr bool returns_as_whole = false;        // a removed disk comes back with its old ledger
+  static constexpr bool copies_unmoved = false;    // from disks that still grant under the old epoch
+  static constexpr bool copies_unsynced = false;   // from disks whose move is not on disk yet
+  static constexpr bool shrinks_freely = false;    // removals without regard to claims won before
+  static constexpr bool returns_as_whole = false;  // a removed disk comes back with its old ledger
   // Duties.
-  static constexpr bool leases_from_answer = false;      // the lease is counted from the answer
+  static constexpr bool leases_from_answer = false;  // the lease is counted from the answer
   static constexpr bool acts_while_handing = false;
 };
 
-struct RepliesBeforeWrite : Sound { static constexpr bool replies_before_write = true; };
-struct AcceptsBelowPromise : Sound { static constexpr bool accepts_below_promise = true; };
-struct VotesForOtherLife : Sound { static constexpr bool votes_for_other_life = true; };
-struct CountsNewRosterOnly : Sound { static constexpr bool counts_new_roster_only = true; };
-struct CountsOldRosterOnly : Sound { static constexpr bool counts_old_roster_only = true; };
-struct WinsByOneTooFew : Sound { static constexpr bool wins_by_one_too_few = true; };
-struct AdoptsNothing : Sound { static constexpr bool adopts_nothing = true; };
-struct StepsOnUnwonStep : Sound { static constexpr bool steps_on_unwon_step = true; };
-struct LearnsByNewRosterOnly : Sound { static constexpr bool learns_by_new_roster_only = true; };
-struct AppliesOnAnyBase : Sound { static constexpr bool applies_on_any_base = true; };
-struct ForgetsOnRestart : Sound { static constexpr bool forgets_on_restart = true; };
-struct VotesBeforeWhole : Sound { static constexpr bool votes_before_whole = true; };
-struct IgnoresEpoch : Sound { static constexpr bool ignores_epoch = true; };
-struct CopiesFromTooFew : Sound { static constexpr bool copies_from_too_few = true; };
-struct CopiesUnmoved : Sound { static constexpr bool copies_unmoved = true; };
-struct CopiesUnsynced : Sound { static constexpr bool copies_unsynced = true; };
-struct ShrinksFreely : Sound { static constexpr bool shrinks_freely = true; };
-struct ReturnsAsWhole : Sound { static constexpr bool returns_as_whole = true; };
-struct LeasesFromAnswer : Sound { static constexpr bool leases_from_answer = true; };
-struct ActsWhileHanding : Sound { static constexpr bool acts_while_handing = true; };
+struct RepliesBeforeWrite : Sound {
+  static constexpr bool replies_before_write = true;
+};
+struct AcceptsBelowPromise : Sound {
+  static constexpr bool accepts_below_promise = true;
+};
+struct VotesForOtherLife : Sound {
+  static constexpr bool votes_for_other_life = true;
+};
+struct CountsNewRosterOnly : Sound {
+  static constexpr bool counts_new_roster_only = true;
+};
+struct CountsOldRosterOnly : Sound {
+  static constexpr bool counts_old_roster_only = true;
+};
+struct WinsByOneTooFew : Sound {
+  static constexpr bool wins_by_one_too_few = true;
+};
+struct AdoptsNothing : Sound {
+  static constexpr bool adopts_nothing = true;
+};
+struct StepsOnUnwonStep : Sound {
+  static constexpr bool steps_on_unwon_step = true;
+};
+struct LearnsByNewRosterOnly : Sound {
+  static constexpr bool learns_by_new_roster_only = true;
+};
+struct AppliesOnAnyBase : Sound {
+  static constexpr bool applies_on_any_base = true;
+};
+struct ForgetsOnRestart : Sound {
+  static constexpr bool forgets_on_restart = true;
+};
+struct VotesBeforeWhole : Sound {
+  static constexpr bool votes_before_whole = true;
+};
+struct IgnoresEpoch : Sound {
+  static constexpr bool ignores_epoch = true;
+};
+struct CopiesFromTooFew : Sound {
+  static constexpr bool copies_from_too_few = true;
+};
+struct CopiesUnmoved : Sound {
+  static constexpr bool copies_unmoved = true;
+};
+struct CopiesUnsynced : Sound {
+  static constexpr bool copies_unsynced = true;
+};
+struct ShrinksFreely : Sound {
+  static constexpr bool shrinks_freely = true;
+};
+struct ReturnsAsWhole : Sound {
+  static constexpr bool returns_as_whole = true;
+};
+struct LeasesFromAnswer : Sound {
+  static constexpr bool leases_from_answer = true;
+};
+struct ActsWhileHanding : Sound {
+  static constexpr bool acts_while_handing = true;
+};
 
 }  // namespace dockbend::collation
--- a/packages/collation/include/collation/ledgers.hpp
+++ b/packages/collation/include/collation/ledgers.hpp
@@ -15,8 +15,26 @@
 template <class F>
 class Ledgers {
  public:
-  enum class Do : u8 { ask_in, step, abandon, move, learn, view, claim, hear, give_up, release, copy, copied, restart, wipe, sync };
-  static constexpr std::array<char const*, 15> words{"ask_in", "step", "abandon", "move", "learn", "view", "claim", "hear", "give_up", "release", "copy", "copied", "restart", "wipe", "sync"};
+  enum class Do : u8 {
+    ask_in,
+    step,
+    abandon,
+    move,
+    learn,
+    view,
+    claim,
+    hear,
+    give_up,
+    release,
+    copy,
+    copied,
+    restart,
+    wipe,
+    sync
+  };
+  static constexpr std::array<char const*, 15> words{"ask_in", "step",   "abandon", "move",    "learn",
+                                                     "view",   "claim",  "hear",    "give_up", "release",
+                                                     "copy",   "copied", "restart", "wipe",    "sync"};
 
   explicit Ledgers(Plan const& p) : left_(p) {
     State f;
@@ -39,7 +57,8 @@
       nodes_.push_back(n);
     }
     askers_.resize(p.proposers);
-    for (Asker& a : askers_) open(a);
+    for (Asker& a : askers_)
+      open(a);
   }
 
   std::string const& breach() const { return breach_; }
@@ -75,8 +94,10 @@
       if (n.waits()) add(Do::sync, x);
     }
     if (!pending_)
-      for (u32 i = 0; i < asked_.size(); ++i) add(Do::step, 0, i);
-    else if (left_.drops > 0) add(Do::abandon);
+      for (u32 i = 0; i < asked_.size(); ++i)
+        add(Do::step, 0, i);
+    else if (left_.drops > 0)
+      add(Do::abandon);
     for (u32 h = 0; h < askers_.size(); ++h) {
       Asker const& a = askers_[h];
       if (a.over) {
@@ -93,8 +114,10 @@
       }
       if (left_.repeats > 0 && !a.won) add(Do::give_up, h);
     }
-    for (u32 i = 0; i < answers_.size(); ++i) add(Do::hear, i);
-    for (u32 i = 0; i < copies_.size(); ++i) add(Do::copied, i);
+    for (u32 i = 0; i < answers_.size(); ++i)
+      add(Do::hear, i);
+    for (u32 i = 0; i < copies_.size(); ++i)
+      add(Do::copied, i);
   }
 
   bool step(Action const& a) {
@@ -130,7 +153,8 @@
         open(askers_[a.a]);
         return true;
       }
-      case Do::claim: return a.a < askers_.size() && a.b < all && (a.c == 0 || spend(left_.holds)) && claim(a.a, a.b, a.c != 0);
+      case Do::claim:
+        return a.a < askers_.size() && a.b < all && (a.c == 0 || spend(left_.holds)) && claim(a.a, a.b, a.c != 0);
       case Do::hear: {
         if (a.a >= answers_.size()) return false;
         Answer const r = answers_[a.a];
@@ -180,23 +204,33 @@
 
   u64 digest() const {
     u64 h = mixed(won_->bal.v, pending_ ? pending_->bal.v : 0);
-    for (auto const& [x, l] : moved_) h = mixed(h, x << 20 | l);
+    for (auto const& [x, l] : moved_)
+      h = mixed(h, x << 20 | l);
     auto bal = [](StateP const& s) { return s ? s->bal.v + 1 : 0; };
     for (Node const& n : nodes_) {
-      for (u64 const x : {n.life.v, bal(n.state), bal(n.known), bal(n.disk.state), n.disk.filled, n.filling.filled(), u64{n.ledger.whole()}}) h = mixed(h, x);
-      for (auto const* k : {&n.key, &n.disk.key}) h = mixed(h, *k ? (**k).holder << 1 | (**k).sealed : 1000);
-      for (u32 y = 0; y < nodes_.size(); ++y) h = mixed(h, n.filling.wants(address(y)));
-      for (Answer const& r : n.late) h = mixed(h, tag(r));
+      for (u64 const x : {n.life.v, bal(n.state), bal(n.known), bal(n.disk.state), n.disk.filled, n.filling.filled(),
+                          u64{n.ledger.whole()}})
+        h = mixed(h, x);
+      for (auto const* k : {&n.key, &n.disk.key})
+        h = mixed(h, *k ? (**k).holder << 1 | (**k).sealed : 1000);
+      for (u32 y = 0; y < nodes_.size(); ++y)
+        h = mixed(h, n.filling.wants(address(y)));
+      for (Answer const& r : n.late)
+        h = mixed(h, tag(r));
     }
     for (Asker const& a : askers_) {
       h = mixed(h, a.view->bal.v);
       h = mixed(h, u64{a.sent} << 40 | u64{a.heard} << 20 | a.over << 1 | a.won);
       h = mixed(h, a.quest.grants() << 8 | a.quest.refusals());
     }
-    for (Answer const& r : answers_) h = mixed(h, tag(r));
-    for (Copy const& c : copies_) h = mixed(mixed(h, c.from << 8 | c.to), codec::pack(c.r));
-    for (Member const& m : asked_) h = mixed(h, codec::pack(m));
-    for (PlanField const& f : plan_fields) h = mixed(h, left_.*f.at);
+    for (Answer const& r : answers_)
+      h = mixed(h, tag(r));
+    for (Copy const& c : copies_)
+      h = mixed(mixed(h, c.from << 8 | c.to), codec::pack(c.r));
+    for (Member const& m : asked_)
+      h = mixed(h, codec::pack(m));
+    for (PlanField const& f : plan_fields)
+      h = mixed(h, left_.*f.at);
     return h;
   }
 
@@ -206,7 +240,10 @@
     std::string const waits = a.c != 0 ? ", answer waits" : "";
     switch (static_cast<Do>(a.what)) {
       case Do::ask_in: return name(a.a) + " asks to be taken in, or says that it is whole";
-      case Do::step: return a.a == 0 ? (a.b < asked_.size() ? "a round begins with what " + name(node_at(asked_[a.b].ip)) + " asked" : std::string()) : "a round begins that takes " + name(a.b) + " out";
+      case Do::step:
+        return a.a == 0 ? (a.b < asked_.size() ? "a round begins with what " + name(node_at(asked_[a.b].ip)) + " asked"
+                                               : std::string())
+                        : "a round begins that takes " + name(a.b) + " out";
       case Do::abandon: return "the round is given up";
       case Do::move: return name(a.a) + " accepts the step" + (a.b != 0 ? ", write waits" : "");
       case Do::learn: return name(a.a) + " learns the newest value won";
@@ -275,8 +312,10 @@
   void fit(u32 x) {
     Node& n = nodes_[x];
     if (!n.state) return;
-    if (F::returns_as_whole) n.ledger.set_whole(n.filling.filled() != 0);
-    else n.filling.fit(membership(*n.state, x), n.ledger);
+    if (F::returns_as_whole)
+      n.ledger.set_whole(n.filling.filled() != 0);
+    else
+      n.filling.fit(membership(*n.state, x), n.ledger);
   }
   // All that waits is on disk now, in order.
   void sync(u32 x) {
@@ -285,7 +324,8 @@
     n.disk.key = n.key;
     std::vector<Answer> late;
     late.swap(n.late);
-    for (Answer const& r : late) answers_.push_back(r);
+    for (Answer const& r : late)
+      answers_.push_back(r);
     if (pending_ && n.state == pending_) {
       moved_.insert({x, n.life.v});
       auto moved = [&](Member const& m) { return moved_.count({node_at(m.ip), m.life.v}) > 0; };
@@ -328,7 +368,8 @@
   bool may_ask_in(u32 x) const {
     if (!nodes_[x].known && won_->member(address(x)) != nullptr && member_of(*won_, x) != nullptr) return false;
     Member const m = asking(x);
-    return std::none_of(asked_.begin(), asked_.end(), [&](Member const& o) { return codec::pack(o) == codec::pack(m); });
+    return std::none_of(asked_.begin(), asked_.end(),
+                        [&](Member const& o) { return codec::pack(o) == codec::pack(m); });
   }
   Member asking(u32 x) const {
     Node const& n = nodes_[x];
@@ -374,7 +415,10 @@
     }
     return true;
   }
-  bool may_move(u32 x) const { return pending_ && nodes_[x].state != pending_ && (member_of(*pending_, x) != nullptr || member_of(*won_, x) != nullptr); }
+  bool may_move(u32 x) const {
+    return pending_ && nodes_[x].state != pending_ &&
+           (member_of(*pending_, x) != nullptr || member_of(*won_, x) != nullptr);
+  }
 
   void open(Asker& a) {
     a.view = won_;
@@ -405,8 +449,10 @@
       sync(x);
     }
     if (F::ignores_epoch) back.r.epoch = a.view->epoch;
-    if (waits) answers_.push_back(back);
-    else hear(back);
+    if (waits)
+      answers_.push_back(back);
+    else
+      hear(back);
     return true;
   }
   void hear(Answer const& r) {
@@ -417,7 +463,8 @@
     if (e == Quest::End::held) a.over = true;
     if (e != Quest::End::granted) return;
     a.won = true;
-    if (std::count_if(askers_.begin(), askers_.end(), [](Asker const& x) { return x.won; }) > 1) breach_ = "two holders have won one key";
+    if (std::count_if(askers_.begin(), askers_.end(), [](Asker const& x) { return x.won; }) > 1)
+      breach_ = "two holders have won one key";
   }
   bool copy(u32 x, u32 y, bool waits) {
     Node& n = nodes_[x];
@@ -429,8 +476,10 @@
     fit(y);
     Copy c{y, x, Filling::answer(o.ledger, o.life, o.state ? std::optional<Epoch>(o.state->epoch) : std::nullopt, q)};
     if (F::copies_unmoved) c.r.epoch = n.known->epoch;
-    if (waits) copies_.push_back(c);
-    else copied(c);
+    if (waits)
+      copies_.push_back(c);
+    else
+      copied(c);
     return true;
   }
   void copied(Copy const& c) {
@@ -438,8 +487,11 @@
     if (!n.known) return;
     Member const* m = n.known->member(address(c.from));
     std::size_t const most = n.known->majority() - (F::copies_from_too_few ? 1 : 0);
-    Filling::Step const s = n.filling.hear(address(c.from), c.r, m == nullptr ? std::nullopt : std::optional<Life>(m->life), n.known->epoch, most, n.ledger, 0);
-    for (HeldKey const& k : s.put) n.key = Entry{k.holder, true};
+    Filling::Step const s =
+        n.filling.hear(address(c.from), c.r, m == nullptr ? std::nullopt : std::optional<Life>(m->life), n.known->epoch,
+                       most, n.ledger, 0);
+    for (HeldKey const& k : s.put)
+      n.key = Entry{k.holder, true};
     if (s.enough) {
       n.disk.filled = membership(*n.known, c.to);
       n.filling.done(n.disk.filled);
--- a/packages/collation/include/collation/registers.hpp
+++ b/packages/collation/include/collation/registers.hpp
@@ -15,14 +15,20 @@
 
 namespace dockbend::collation {
 
-inline std::string address(u32 i) { return "10.0.0." + std::to_string(i + 1); }
-inline u32 node_at(std::string const& ip) { return static_cast<u32>(std::stoul(ip.substr(7))) - 1; }
+inline std::string address(u32 i) {
+  return "10.0.0." + std::to_string(i + 1);
+}
+inline u32 node_at(std::string const& ip) {
+  return static_cast<u32>(std::stoul(ip.substr(7))) - 1;
+}
 inline u64 mixed(u64 seed, u64 x) {
   std::size_t s = seed;
   boost::hash_combine(s, x);
   return s;
 }
-inline u64 mixed(u64 seed, std::string const& x) { return mixed(seed, std::hash<std::string>{}(x)); }
+inline u64 mixed(u64 seed, std::string const& x) {
+  return mixed(seed, std::hash<std::string>{}(x));
+}
 
 // Invariants judged, each in one place below:
 // - one value a ballot (on_disk);
@@ -36,7 +42,8 @@
 class Registers {
  public:
   enum class Do : u8 { propose, deliver, learn, tell, restart, wipe, cut, heal, drop, sync };
-  static constexpr std::array<char const*, 10> words{"propose", "deliver", "learn", "tell", "restart", "wipe", "cut", "heal", "drop", "sync"};
+  static constexpr std::array<char const*, 10> words{"propose", "deliver", "learn", "tell", "restart",
+                                                     "wipe",    "cut",     "heal",  "drop", "sync"};
   // propose: a the node, b what, c whom or which generation.
   enum class Wish : u8 { finish, item, join, leave, join_all, swap };
   // deliver: c how.
@@ -44,11 +51,13 @@
 
   explicit Registers(Plan const& p) : left_(p) {
     State f;
-    for (u32 i = 0; i < p.nodes; ++i) f.roster.push_back(member(i, Life(1)));
+    for (u32 i = 0; i < p.nodes; ++i)
+      f.roster.push_back(member(i, Life(1)));
     for (u32 i = 0; i < p.nodes + p.spares; ++i) {
       bool const founder = i < p.nodes;
       Life const l = founder ? Life(1) : Life(10 + i);
-      nodes_.emplace_back(Acceptor(l, Ballot(), founder ? std::optional<State>(f) : std::nullopt), Proposer(address(i)));
+      nodes_.emplace_back(Acceptor(l, Ballot(), founder ? std::optional<State>(f) : std::nullopt),
+                          Proposer(address(i)));
       Node& n = nodes_.back();
       n.disk = Disk{l, Ballot(), n.acc.state()};
       if (founder) n.committed = std::make_shared<State const>(f);
@@ -81,7 +90,8 @@
       State const* b = best(n);
       if (b != nullptr && i < left_.proposers && left_.proposals > 0) {
         if (!n.committed || b->bal > n.committed->bal) wish(i, Wish::finish);
-        for (u32 g = 1; g <= left_.items; ++g) wish(i, Wish::item, g);
+        for (u32 g = 1; g <= left_.items; ++g)
+          wish(i, Wish::item, g);
         u32 fresh = 0;
         for (u32 x = 0; x < all; ++x) {
           Member const* m = b->member(address(x));
@@ -103,12 +113,15 @@
       for (u32 k = 0; k < all; ++k) {
         if (k == i) continue;
         bool const is_cut = cut_.count({i, k}) > 0;
-        if (is_cut) add(Do::heal, i, k);
-        else if (left_.cuts > 0) add(Do::cut, i, k);
+        if (is_cut)
+          add(Do::heal, i, k);
+        else if (left_.cuts > 0)
+          add(Do::cut, i, k);
         if (is_cut) continue;
         // i to k.
         if (n.committed && (!nodes_[k].committed || n.committed->bal > nodes_[k].committed->bal)) add(Do::learn, i, k);
-        if (left_.tells > 0 && n.disk.st && nodes_[k].acc.state() && (!nodes_[k].committed || nodes_[k].acc.state()->bal > nodes_[k].committed->bal) &&
+        if (left_.tells > 0 && n.disk.st && nodes_[k].acc.state() &&
+            (!nodes_[k].committed || nodes_[k].acc.state()->bal > nodes_[k].committed->bal) &&
             nodes_[k].heard[i] != std::pair(n.disk.life, n.disk.st->bal))
           add(Do::tell, i, k);
       }
@@ -170,7 +183,8 @@
             learn_from(i, k);
           }
     };
-    for (u32 i = 0; i < all; ++i) flush(i);
+    for (u32 i = 0; i < all; ++i)
+      flush(i);
     bag_.clear();
     for (int turn = 0; turn < 3 && breach_.empty(); ++turn)
       for (u32 i = 0; i < all && breach_.empty(); ++i) {
@@ -178,7 +192,8 @@
         if (best(nodes_[i]) == nullptr) continue;
         left_.proposals = 1;
         propose(i, Wish::finish, 0);
-        while (!bag_.empty() && breach_.empty()) deliver(bag_.front()->id, How::at_once);
+        while (!bag_.empty() && breach_.empty())
+          deliver(bag_.front()->id, How::at_once);
       }
     if (!breach_.empty()) return;
     spread();
@@ -209,18 +224,27 @@
         h = mixed(h, n.prop.ballot().v);
         h = mixed(h, n.prop.base().bal.v);
         h = mixed(h, static_cast<u64>(n.wish) << 8 | n.arg);
-        for (std::string const& s : n.prop.promised()) h = mixed(h, s);
+        for (std::string const& s : n.prop.promised())
+          h = mixed(h, s);
         h = mixed(h, 1);
-        for (std::string const& s : n.prop.accepted()) h = mixed(h, s);
+        for (std::string const& s : n.prop.accepted())
+          h = mixed(h, s);
       }
-      for (MsgP const& m : n.late) h = mixed(h, m->id);
-      for (auto const& [l, b] : n.heard) h = mixed(mixed(h, l.v), b.v);
+      for (MsgP const& m : n.late)
+        h = mixed(h, m->id);
+      for (auto const& [l, b] : n.heard)
+        h = mixed(mixed(h, l.v), b.v);
     }
-    for (MsgP const& m : bag_) h = mixed(h, m->id);
-    for (auto const& [a, b] : cut_) h = mixed(h, a << 8 | b);
-    for (PlanField const& f : plan_fields) h = mixed(h, left_.*f.at);
-    for (StateP const& s : won_) h = mixed(h, s->bal.v);
-    for (auto const& [b, d] : values_) h = mixed(h, d);
+    for (MsgP const& m : bag_)
+      h = mixed(h, m->id);
+    for (auto const& [a, b] : cut_)
+      h = mixed(h, a << 8 | b);
+    for (PlanField const& f : plan_fields)
+      h = mixed(h, left_.*f.at);
+    for (StateP const& s : won_)
+      h = mixed(h, s->bal.v);
+    for (auto const& [b, d] : values_)
+      h = mixed(h, d);
     return h;
   }
 
@@ -233,16 +257,20 @@
     switch (static_cast<Do>(a.what)) {
       case Do::propose:
         s = name(a.a) + " begins a round: " + wishes[std::min<std::size_t>(a.b, 5)];
-        if (static_cast<Wish>(a.b) == Wish::item) s += " generation " + std::to_string(a.c);
-        else if (static_cast<Wish>(a.b) == Wish::swap) s += " " + name(a.c >> 4) + " for " + name(a.c & 15);
-        else if (static_cast<Wish>(a.b) == Wish::join || static_cast<Wish>(a.b) == Wish::leave) s += " " + name(a.c);
+        if (static_cast<Wish>(a.b) == Wish::item)
+          s += " generation " + std::to_string(a.c);
+        else if (static_cast<Wish>(a.b) == Wish::swap)
+          s += " " + name(a.c >> 4) + " for " + name(a.c & 15);
+        else if (static_cast<Wish>(a.b) == Wish::join || static_cast<Wish>(a.b) == Wish::leave)
+          s += " " + name(a.c);
         return s;
       case Do::deliver:
       case Do::drop:
         for (MsgP const& m : bag_)
           if (m->id == a.m)
-            return std::string(kinds[m->what.index()]) + " " + std::to_string(m->ballot().v >> 32) + "." + name((m->ballot().v & 255) - 1) + " from " + name(m->from) +
-                   " to " + name(m->to) + (static_cast<Do>(a.what) == Do::drop ? " is lost" : hows[std::min<std::size_t>(a.c, 3)]);
+            return std::string(kinds[m->what.index()]) + " " + std::to_string(m->ballot().v >> 32) + "." +
+                   name((m->ballot().v & 255) - 1) + " from " + name(m->from) + " to " + name(m->to) +
+                   (static_cast<Do>(a.what) == Do::drop ? " is lost" : hows[std::min<std::size_t>(a.c, 3)]);
         return "nothing there";
       case Do::learn: return name(a.b) + " is told " + name(a.a) + "'s newest value";
       case Do::tell: return name(a.b) + " hears what is on " + name(a.a) + "'s disk";
@@ -287,7 +315,10 @@
     Wish wish = Wish::finish;
     u8 arg = 0;
     bool open = false;  // its round is not over
-    bool waits() const { return !late.empty() || disk.promised != acc.promised() || (acc.state() && (!disk.st || disk.st->bal != acc.state()->bal)); }
+    bool waits() const {
+      return !late.empty() || disk.promised != acc.promised() ||
+             (acc.state() && (!disk.st || disk.st->bal != acc.state()->bal));
+    }
   };
 
   static Member member(u32 i, Life l) {
@@ -321,7 +352,8 @@
       note_value(*n.disk.st);
       taken_.insert({n.disk.st->bal.v, x, n.disk.life.v});
     }
-    for (MsgP const& m : n.unheard) taken_.insert({m->ballot().v, x, n.disk.life.v});
+    for (MsgP const& m : n.unheard)
+      taken_.insert({m->ballot().v, x, n.disk.life.v});
     n.unheard.clear();
     std::vector<MsgP> late;
     late.swap(n.late);
@@ -344,7 +376,9 @@
     n.open = false;
     // Answers come over the connection that asked, and that is gone. Safety rests on it: a
     // proposer that is no member has no promise of its own, and may use a ballot again.
-    auto const lost = [&](MsgP const& m) { return m->to == x && (m->kind() == Kind::prepR || m->kind() == Kind::accR); };
+    auto const lost = [&](MsgP const& m) {
+      return m->to == x && (m->kind() == Kind::prepR || m->kind() == Kind::accR);
+    };
     std::erase_if(bag_, lost);
     for (Node& o : nodes_) {
       auto const keep = std::stable_partition(o.late.begin(), o.late.end(), [&](MsgP const& m) { return !lost(m); });
@@ -407,8 +441,10 @@
       if (n == 0 || !asks) return false;
       --n;
     }
-    if (asks) ask(*m, how);
-    else answer(*m);
+    if (asks)
+      ask(*m, how);
+    else
+      answer(*m);
     return true;
   }
 
@@ -446,8 +482,10 @@
     }
     if (s.write && !F::replies_before_write) flush(m.to);
     if (!breach_.empty() || cut_.count({back->from, back->to}) > 0) return;
-    if (how == How::answer_waits) put(back);
-    else answer(*back);
+    if (how == How::answer_waits)
+      put(back);
+    else
+      answer(*back);
   }
 
   // ---- the proposer's side -----------------------------------------------------------
@@ -455,8 +493,10 @@
     for (Proposer::Out const& o : v) {
       u32 const to = node_at(o.ip);
       MsgP const m = o.is_prep ? made(x, to, o.prep) : made(x, to, o.acc);
-      if (to == x) ask(*m, How::at_once);
-      else put(m);
+      if (to == x)
+        ask(*m, How::at_once);
+      else
+        put(m);
     }
   }
   void answer(Msg const& m) {
@@ -487,10 +527,13 @@
       State const from = n.prop.base(), to = n.prop.value();
       auto lacks = [&](State const& s) {
         std::size_t k = 0;
-        for (Member const& m : s.roster) k += n.prop.accepted().count(m.ip + "/" + std::to_string(m.life.v));
+        for (Member const& m : s.roster)
+          k += n.prop.accepted().count(m.ip + "/" + std::to_string(m.life.v));
         return k >= s.majority() ? 0 : s.majority() - k;
       };
-      bool const enough = F::counts_new_roster_only ? lacks(to) == 0 : F::counts_old_roster_only ? lacks(from) == 0 : lacks(to) <= 1 && lacks(from) <= 1;
+      bool const enough = F::counts_new_roster_only   ? lacks(to) == 0
+                          : F::counts_old_roster_only ? lacks(from) == 0
+                                                      : lacks(to) <= 1 && lacks(from) <= 1;
       if (!enough) return;
       for (auto const* l : {&from.roster, &to.roster, &to.was})
         for (Member const& m : *l) {
@@ -514,7 +557,8 @@
     };
     auto leaving = [](u32 i, Life l) {
       return Proposer::Change([ip = address(i), l](State& s) {
-        return s.roster.size() > 2 && std::erase_if(s.roster, [&](Member const& m) { return m.ip == ip && m.life == l; }) > 0;
+        return s.roster.size() > 2 &&
+               std::erase_if(s.roster, [&](Member const& m) { return m.ip == ip && m.life == l; }) > 0;
       });
     };
     Proposer::Change change = [](State&) { return false; };
@@ -529,7 +573,8 @@
           std::string f;
           if (dockbend::join(m, a, f) != Joined::changed) return false;
           s.items.clear();
-          for (auto& [k, i] : m) s.items.push_back(i);
+          for (auto& [k, i] : m)
+            s.items.push_back(i);
           return true;
         };
         break;
@@ -548,12 +593,14 @@
       case Wish::join_all: {
         std::vector<Proposer::Change> v;
         for (u32 i = 0; i < all; ++i)
-          if (Member const* m = b->member(address(i)); m == nullptr || m->life != nodes_[i].acc.life()) v.push_back(joining(i));
+          if (Member const* m = b->member(address(i)); m == nullptr || m->life != nodes_[i].acc.life())
+            v.push_back(joining(i));
         if (left_.joins < v.size() || v.empty()) return false;
         left_.joins -= static_cast<u32>(v.size());
         change = [v](State& s) {
           bool any = false;
-          for (auto const& c : v) any = c(s) || any;
+          for (auto const& c : v)
+            any = c(s) || any;
           return any;
         };
         break;
@@ -574,7 +621,8 @@
     n.open = true;
     n.prop.abandon();
     // Answers to a round that is over say nothing to a proposer.
-    std::erase_if(bag_, [&](MsgP const& m) { return m->to == x && (m->kind() == Kind::prepR || m->kind() == Kind::accR); });
+    std::erase_if(bag_,
+                  [&](MsgP const& m) { return m->to == x && (m->kind() == Kind::prepR || m->kind() == Kind::accR); });
     n.prop.saw(n.acc.promised());
     std::optional<Epoch> known = n.committed ? std::optional<Epoch>(n.committed->epoch) : std::nullopt;
     if (F::steps_on_unwon_step) known = b->epoch;
@@ -586,8 +634,11 @@
   void note_won(State const& v) {
     note_value(v);
     auto on = [&](Member const& m) { return taken_.count({v.bal.v, node_at(m.ip), m.life.v}) > 0; };
-    auto majority = [&](std::vector<Member> const& l) { return static_cast<std::size_t>(std::count_if(l.begin(), l.end(), on)) > l.size() / 2; };
-    auto const at = std::lower_bound(won_.begin(), won_.end(), v.bal, [](StateP const& s, Ballot b) { return s->bal < b; });
+    auto majority = [&](std::vector<Member> const& l) {
+      return static_cast<std::size_t>(std::count_if(l.begin(), l.end(), on)) > l.size() / 2;
+    };
+    auto const at =
+        std::lower_bound(won_.begin(), won_.end(), v.bal, [](StateP const& s, Ballot b) { return s->bal < b; });
     if (at != won_.end() && (*at)->bal == v.bal) return;
     if (v.bal.v != 0) {
       if (!majority(v.roster)) fail("won on too few disks of its roster");
@@ -627,7 +678,8 @@
     }
     if (n.committed) {
       State t = *n.committed;
-      if (!apply(t, codec::unpack<Delta>(codec::pack(delta_of(*n.committed, *s)))) || codec::pack(t) != codec::pack(*s)) fail("a delta gives another value");
+      if (!apply(t, codec::unpack<Delta>(codec::pack(delta_of(*n.committed, *s)))) || codec::pack(t) != codec::pack(*s))
+        fail("a delta gives another value");
     }
     learn(b, *s);
     return true;
--- a/packages/contact/contact.cpp
+++ b/packages/contact/contact.cpp
@@ -16,7 +16,9 @@
 }
 
 std::vector<std::string> choose_feeders(std::vector<Candidate> v, std::size_t n) {
-  std::sort(v.begin(), v.end(), [](Candidate const& a, Candidate const& b) { return std::tie(a.rank, a.tier, a.draw, a.ip) < std::tie(b.rank, b.tier, b.draw, b.ip); });
+  std::sort(v.begin(), v.end(), [](Candidate const& a, Candidate const& b) {
+    return std::tie(a.rank, a.tier, a.draw, a.ip) < std::tie(b.rank, b.tier, b.draw, b.ip);
+  });
   std::vector<std::string> out;
   for (Candidate& c : v)
     if (out.size() < n) out.push_back(std::move(c.ip));
--- a/packages/contact/include/contact/contact.hpp
+++ b/packages/contact/include/contact/contact.hpp
@@ -11,8 +11,8 @@
 #include <limits>
 #include <map>
 
-#include "stacks/record.hpp"
 #include "stacks/codec.hpp"
+#include "stacks/record.hpp"
 #include "stacks/settings.hpp"
 
 namespace dockbend {
@@ -87,7 +87,8 @@
   void knows(Ballot b) {
     if (b <= known_) return;
     known_ = b;
-    for (auto& [ip, p] : peers_) cover(p);
+    for (auto& [ip, p] : peers_)
+      cover(p);
   }
 
   // A new connection to ip: what was asked over the old one is void.
--- a/packages/contact/include/contact/feeders.hpp
+++ b/packages/contact/include/contact/feeders.hpp
@@ -14,7 +14,8 @@
  public:
   explicit Said(Secs steady = 1.2) : steady_(steady) {}
   void hear(bool in_contact, Secs now) {
-    if (!in_contact) word_ = Word::out;
+    if (!in_contact)
+      word_ = Word::out;
     else if (word_ != Word::in) {
       since_ = word_ == Word::unknown ? now - steady_ : now;
       word_ = Word::in;
--- a/packages/desks/include/desks/drains.hpp
+++ b/packages/desks/include/desks/drains.hpp
@@ -16,7 +16,13 @@
 class DrainDesk {
  public:
   DrainDesk(House& h, SiteDesk& si, ServerDesk& se, SurveyDesk& su, DutyDesk& d)
-      : h_(h), sites_(si), servers_(se), surveys_(su), duties_(d), nodes_(node_plan(h.st)), rotation_(server_plan(h.st)) {
+      : h_(h),
+        sites_(si),
+        servers_(se),
+        surveys_(su),
+        duties_(d),
+        nodes_(node_plan(h.st)),
+        rotation_(server_plan(h.st)) {
     if (h.st.drainHook) hook_ = std::make_unique<Envoy>(h.eb, *h.st.drainHook);
   }
 
@@ -26,7 +32,9 @@
     std::map<std::string, Unit> out;
     for (Unit const& u : h_.committed->units)
       if (u.stage != Stage::waiting && u.stage != Stage::back) out.emplace(u.name, u);
-    bool const more = out.size() != h_.out.size() || !std::equal(out.begin(), out.end(), h_.out.begin(), [](auto const& a, auto const& b) { return a.first == b.first; });
+    bool const more =
+        out.size() != h_.out.size() || !std::equal(out.begin(), out.end(), h_.out.begin(),
+                                                   [](auto const& a, auto const& b) { return a.first == b.first; });
     h_.out = std::move(out);
     if (more) servers_.orders_changed();
   }
@@ -71,7 +79,10 @@
         return h_.write(r, fault(400, e.what()));
       }
     }
-    for (auto const& [pre, o] : {std::pair{"Pause/", PassOrder::pause}, {"Resume/", PassOrder::resume}, {"Abort/", PassOrder::abort}, {"Return/", PassOrder::take_back}})
+    for (auto const& [pre, o] : {std::pair{"Pause/", PassOrder::pause},
+                                 {"Resume/", PassOrder::resume},
+                                 {"Abort/", PassOrder::abort},
+                                 {"Return/", PassOrder::take_back}})
       if (what.rfind(pre, 0) == 0) {
         std::string const rest = what.substr(std::strlen(pre));
         auto const cut = rest.find('/');
@@ -156,7 +167,8 @@
   }
 
   bool wanted() const {
-    return h_.committed && std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(), [](Pass const& p) { return !is_over(p.state); });
+    return h_.committed && std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(),
+                                       [](Pass const& p) { return !is_over(p.state); });
   }
 
  private:
@@ -171,7 +183,8 @@
     return p;
   }
   bool rotating() const {
-    return std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(), [](Pass const& p) { return p.servers && !is_over(p.state); });
+    return std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(),
+                       [](Pass const& p) { return p.servers && !is_over(p.state); });
   }
 
   std::vector<SeenNode> seen_nodes(Secs now) const {
@@ -202,7 +215,8 @@
     if (now - asked_ < 1.0) return;
     asked_ = now;
     std::vector<std::string> const ids = rotation_.interest(*h_.committed);
-    for (std::string const& id : ids) asked_at_[id] = now;
+    for (std::string const& id : ids)
+      asked_at_[id] = now;
     std::erase_if(asked_at_, [&](auto const& x) { return now - x.second > 2.5; });
     surveys_.ask_held(ids, [this](Survey const& s) {
       Heard& x = heard_[s.front];
@@ -210,9 +224,11 @@
       x.held = s.held;
       x.had_any = true;
     });
-    for (auto const& [f, s] : sites_.catalog().rows()) heard_[f].known = now;
+    for (auto const& [f, s] : sites_.catalog().rows())
+      heard_[f].known = now;
     // Its row has been gone for as long: what it began has come to its end.
-    std::erase_if(heard_, [&, far = longest()](auto const& x) { return now - std::max(x.second.at, x.second.known) > far + 1; });
+    std::erase_if(
+        heard_, [&, far = longest()](auto const& x) { return now - std::max(x.second.at, x.second.known) > far + 1; });
   }
   // The longest that a request may be held, by the routes in force.
   Secs longest() {
@@ -220,7 +236,8 @@
       longest_of_ = h_.view.bal;
       longest_ = 5;
       Compiled const man = Compiled::from(h_.view.items);
-      for (auto const& [k, l] : man.all_lanes()) longest_ = std::max(longest_, l->deadline);
+      for (auto const& [k, l] : man.all_lanes())
+        longest_ = std::max(longest_, l->deadline);
     }
     return longest_;
   }
@@ -232,7 +249,8 @@
     bool all = !heard_.empty();
     for (auto const& [f, x] : heard_) {
       all = all && x.had_any && now - x.at < 2.5;
-      for (Held const& h : x.held) held[h.id].add(h);
+      for (Held const& h : x.held)
+        held[h.id].add(h);
     }
     for (auto const& [id, e] : servers_.roll().entries()) {
       SeenServer s;
@@ -288,7 +306,9 @@
         [this, m](State const* s) {
           busy_ = false;
           if (s == nullptr) return;
-          for (Move const& x : m.moves) LOG4CPLUS_INFO(lg_, "Pass " << x.pass << ": " << x.name << " " << stage_str(x.from) << " to " << stage_str(x.to) << ".");
+          for (Move const& x : m.moves)
+            LOG4CPLUS_INFO(lg_, "Pass " << x.pass << ": " << x.name << " " << stage_str(x.from) << " to "
+                                        << stage_str(x.to) << ".");
         },
         1.0);
   }
@@ -301,8 +321,10 @@
       Pass const* p = h_.committed->pass(u.pass);
       if (u.stage != Stage::empty || p == nullptr || p->servers) continue;
       hook_at_ = now + 1.0;
-      hook_->post("/release/" + (u.node.empty() ? u.name : u.node), {{"X-Duty-Holder", h_.st.nodeName}, {"X-Fence-Number", std::to_string(duties_.fence("drain"))}},
-                  "{\"pass\":\"" + std::to_string(u.pass) + "\",\"address\":\"" + u.name + "\"}", 1.0, [this, u](int code, Secs) {
+      hook_->post("/release/" + (u.node.empty() ? u.name : u.node),
+                  {{"X-Duty-Holder", h_.st.nodeName}, {"X-Fence-Number", std::to_string(duties_.fence("drain"))}},
+                  "{\"pass\":\"" + std::to_string(u.pass) + "\",\"address\":\"" + u.name + "\"}", 1.0,
+                  [this, u](int code, Secs) {
                     if (code < 200 || code > 299) return;
                     Moves m;
                     m.moves.push_back(Move{u.pass, u.name, Stage::empty, Stage::released, u.life});
@@ -326,8 +348,8 @@
   ServerDrainer rotation_;
   std::unique_ptr<Envoy> hook_;
   std::map<std::string, Secs> asked_at_;  // servers whose holdings were asked for lately
-  std::map<std::string, Heard> heard_;  // by proxy; joined by replacing, so repeats add nothing
-  Ballot longest_of_;  // the view that longest_ was worked out from
+  std::map<std::string, Heard> heard_;    // by proxy; joined by replacing, so repeats add nothing
+  Ballot longest_of_;                     // the view that longest_ was worked out from
   Secs longest_ = 0;
   Secs stepped_ = 0, asked_ = 0, hook_at_ = 0;
   bool held_ = false, busy_ = false;
--- a/packages/desks/include/desks/duties.hpp
+++ b/packages/desks/include/desks/duties.hpp
@@ -17,7 +17,8 @@
     Secs const now = now_s();
     DutyPlan dp;
     dp.lease = st.bounds.leaseTermS;
-    for (char const* d : {"usage", "allowance", "drain"}) duties_.emplace(d, Duty(d, st.nodeName, st.ip, dp, now));
+    for (char const* d : {"usage", "allowance", "drain"})
+      duties_.emplace(d, Duty(d, st.nodeName, st.ip, dp, now));
     ReportPlan rp;
     rp.period = st.bounds.reportPeriodS;
     rp.settle = 0.15 * st.bounds.usageDelayS;
@@ -154,7 +155,8 @@
     if (!d.holds()) {
       Term const* t = h_.committed ? h_.committed->term("allowance") : nullptr;
       Member const* m = t == nullptr ? nullptr : h_.committed->member(t->ip);
-      if (m == nullptr || m->ip == h_.st.ip) return h_.write(r, lends() ? fault(503, "nobody lends yet") : CallRet{200, "{\"allowances\":[]}"});
+      if (m == nullptr || m->ip == h_.st.ip)
+        return h_.write(r, lends() ? fault(503, "nobody lends yet") : CallRet{200, "{\"allowances\":[]}"});
       return h_.write(r, CallRet{307, "{}", "http://" + Addr{m->ip, m->control}.str() + uri});
     }
     rapidjson::StringBuffer sb;
@@ -197,7 +199,8 @@
       w.StartObject();
       w.Key("allowances");
       w.StartArray();
-      for (std::string const& t : lender_.tenants()) one(t, false);
+      for (std::string const& t : lender_.tenants())
+        one(t, false);
       w.EndArray();
       w.EndObject();
     } else {
@@ -216,11 +219,13 @@
     pass_tally(now);
   }
   void leave() {
-    for (auto& [n, d] : duties_) d.hand_over(successor());
+    for (auto& [n, d] : duties_)
+      d.hand_over(successor());
   }
   bool handing() const {
     bool x = false;
-    for (auto const& [n, d] : duties_) x = x || d.handing();
+    for (auto const& [n, d] : duties_)
+      x = x || d.handing();
     return x;
   }
   void told(DutyCmd const& c) {
@@ -232,7 +237,8 @@
   }
   void mate_clock(std::string const& ip, Secs steady, Wall said) { clock_.mate(ip, steady, said); }
   void join(TallyNote const& n) {
-    for (TallyRow const& r : n.rows) totals_.join(r);
+    for (TallyRow const& r : n.rows)
+      totals_.join(r);
   }
   void reported_to(u64 window) { totals_.forget(Window(window)); }
   // May this node be handed a duty and act at once?
@@ -249,7 +255,8 @@
   // Passes an order on to whoever holds the duty; what stood in its way, if anything.
   std::string hand_over(HandOver const& o) {
     bool in_touch = o.node == h_.st.nodeName;
-    for (auto const& [ip, m] : h_.mates) in_touch = in_touch || (!o.node.empty() && m.node == o.node && h_.up(ip));
+    for (auto const& [ip, m] : h_.mates)
+      in_touch = in_touch || (!o.node.empty() && m.node == o.node && h_.up(ip));
     if (!in_touch) return "no such node in touch: " + o.node;
     Term const* t = h_.committed ? h_.committed->term(o.duty) : nullptr;
     if (t == nullptr) return "nobody has the duty yet";
@@ -283,7 +290,9 @@
               },
               h_.patience());
   }
-  bool wanted(std::string const& duty) const { return duty == "usage" ? reports() : duty == "drain" ? drains() : lends(); }
+  bool wanted(std::string const& duty) const {
+    return duty == "usage" ? reports() : duty == "drain" ? drains() : lends();
+  }
   bool drains() const {
     return std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(),
                        [](Pass const& p) { return p.state == PassState::running || p.state == PassState::paused; });
@@ -291,7 +300,9 @@
   bool fit() const { return h_.born && h_.leaving == 0 && h_.in_contact(); }
 
   bool reports() const {
-    return h_.st.cloud && envoy_ && std::find(h_.st.cloudTasks.begin(), h_.st.cloudTasks.end(), "usage_report") != h_.st.cloudTasks.end() && h_.partners.has_tenants();
+    return h_.st.cloud && envoy_ &&
+           std::find(h_.st.cloudTasks.begin(), h_.st.cloudTasks.end(), "usage_report") != h_.st.cloudTasks.end() &&
+           h_.partners.has_tenants();
   }
 
   bool lends() const {
@@ -307,7 +318,8 @@
     if (!h_.committed) return "-";
     for (Member const& m : h_.committed->roster) {
       auto const it = h_.mates.find(m.ip);
-      if (m.ip == h_.st.ip || it == h_.mates.end() || !h_.up(m.ip) || !it->second.fit || it->second.node.empty()) continue;
+      if (m.ip == h_.st.ip || it == h_.mates.end() || !h_.up(m.ip) || !it->second.fit || it->second.node.empty())
+        continue;
       int const t = m.zone == h_.st.zone ? 0 : m.region == h_.st.region ? 1 : 2;
       if (t < best_tier) {
         best = it->second.node;
@@ -344,8 +356,8 @@
     auto const s = reporter_.to_send(*h_.committed, now);
     if (!s || !d.may_act(now, reporter_.call_s())) return;
     reporter_.sent(now);
-    envoy_->post("/usage", {{"X-Duty-Holder", h_.st.nodeName}, {"X-Fence-Number", std::to_string(d.fence())}}, s->body, reporter_.call_s(),
-                 [this, w = s->window](int code, Secs wait) {
+    envoy_->post("/usage", {{"X-Duty-Holder", h_.st.nodeName}, {"X-Fence-Number", std::to_string(d.fence())}}, s->body,
+                 reporter_.call_s(), [this, w = s->window](int code, Secs wait) {
                    reporter_.answered(w, code, wait, now_s());
                    if (code != 200) LOG4CPLUS_INFO(lg_, "Window " << w << " got " << code << ".");
                  });
@@ -360,7 +372,9 @@
       if (!p || !p->allowance) lender_.drop(t);
     }
     for (TenantP const& t : h_.partners.tenants())
-      if (t->allowance) lender_.rule(t->name, BudgetRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)}, n, now);
+      if (t->allowance)
+        lender_.rule(t->name, BudgetRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)}, n,
+                     now);
   }
 
   struct Ordered {
--- a/packages/desks/include/desks/house.hpp
+++ b/packages/desks/include/desks/house.hpp
@@ -44,13 +44,13 @@
   std::unique_ptr<Link> link;  // null: ourselves
   Mismatch off;
   Secs pulled = 0, digest_sent = 0;
-  u32 digests = 0;  // names the newest; an answer to an earlier one tells no time
+  u32 digests = 0;   // names the newest; an answer to an earlier one tells no time
   bool fit = false;  // may take a duty over at once
   std::string node;
   std::vector<std::string> told_known;  // mates we named to it last
   Secs heard = 0;
-  Life life;         // of the disk that said so
-  Ballot accepted;   // the newest value it says it holds on disk
+  Life life;        // of the disk that said so
+  Ballot accepted;  // the newest value it says it holds on disk
 };
 
 struct Peer {  // an incoming channel
@@ -76,9 +76,9 @@
   std::map<std::string, Mate> mates;
   std::map<u64, Peer> peers;
   std::map<std::string, Unit> out;  // units of passes that are cordoned or further, not back, by name
-  bool born = false;  // our disk's life is on disk
-  Strays strays;      // what was dropped here because no open question fits it
-  Secs leaving = 0;   // since when; 0: we stay
+  bool born = false;                // our disk's life is on disk
+  Strays strays;                    // what was dropped here because no open question fits it
+  Secs leaving = 0;                 // since when; 0: we stay
   // Brings a change to the register; done gets the value, or null if it is not known
   // to stand.
   std::function<void(std::function<bool(State&)>, std::function<void(State const*)>, Secs)> submit;
@@ -102,7 +102,8 @@
   }
   std::size_t mates_up() const {
     std::size_t n = 0;
-    for (auto const& [ip, m] : mates) n += m.link && m.link->up() ? 1 : 0;
+    for (auto const& [ip, m] : mates)
+      n += m.link && m.link->up() ? 1 : 0;
     return n;
   }
   // With more mates than this nobody tells all of them everything.
--- a/packages/desks/include/desks/keys.hpp
+++ b/packages/desks/include/desks/keys.hpp
@@ -31,9 +31,11 @@
     State const& st = *h_.committed;
     Member const* m = st.member(ip);
     if (r.ok && r.epoch < st.epoch) h_.strays.drop(Stray::epoch);  // asked under an earlier roster
-    Filling::Step const got = copying_.hear(ip, r, m == nullptr ? std::nullopt : std::optional<Life>(m->life), st.epoch, st.majority(), ledger_, now_s());
+    Filling::Step const got = copying_.hear(ip, r, m == nullptr ? std::nullopt : std::optional<Life>(m->life), st.epoch,
+                                            st.majority(), ledger_, now_s());
     std::vector<Vellum::Op> ops;
-    for (HeldKey const& k : got.put) ops.push_back(key_op(k.key, k.holder, true));
+    for (HeldKey const& k : got.put)
+      ops.push_back(key_op(k.key, k.holder, true));
     if (got.enough) {
       u64 const in = since_in(st);
       ops.push_back(Vellum::put_meta("whole", Store::whole_word(in)));
@@ -94,7 +96,8 @@
     // Answers are a convenience, votes are not: answers give way long before the
     // disk is full.
     double const most = (h_.st.diskMb > 0 ? h_.st.diskMb : 256) * 0.3e6;
-    while (!ret_order_.empty() && (now - ret_order_.front().at > h_.st.bounds.keyHorizonS * 1.25 + 5 || static_cast<double>(ret_bytes_) > most)) {
+    while (!ret_order_.empty() && (now - ret_order_.front().at > h_.st.bounds.keyHorizonS * 1.25 + 5 ||
+                                   static_cast<double>(ret_bytes_) > most)) {
       Vellum::Op d;
       d.what = Vellum::Op::What::drop_ret;
       d.k = ret_order_.front().key;
@@ -117,7 +120,8 @@
 
   void load(std::vector<DiskKey> const& keys, std::vector<std::pair<std::string, std::size_t>> const& rets) {
     Secs const now = now_s();
-    for (DiskKey const& k : keys) ledger_.load(k.key, k.holder, k.sealed, now);
+    for (DiskKey const& k : keys)
+      ledger_.load(k.key, k.holder, k.sealed, now);
     for (auto const& [k, n] : rets) {
       ret_order_.push_back({k, now, n});
       ret_bytes_ += n;
@@ -159,7 +163,8 @@
       Kept const& k = ret_order_[--hand_ix_];
       h_.vellum->find_ret(k.key, [this, ip](std::string const& v) {
         auto const it = h_.mates.find(ip);
-        if (!v.empty() && it != h_.mates.end() && it->second.link && it->second.link->up()) it->second.link->ch()->send(Kind::store, 0, std::string_view(v));
+        if (!v.empty() && it != h_.mates.end() && it->second.link && it->second.link->up())
+          it->second.link->ch()->send(Kind::store, 0, std::string_view(v));
       });
     }
     return hand_ix_ == 0;
@@ -182,7 +187,8 @@
   // The membership of our disk in that roster.
   u64 since_in(State const& s) const {
     Member const* m = s.member(h_.st.ip);
-    return Filling::membership(m == nullptr || m->life != h_.acceptor->life() ? std::nullopt : std::optional<Epoch>(m->since));
+    return Filling::membership(m == nullptr || m->life != h_.acceptor->life() ? std::nullopt
+                                                                              : std::optional<Epoch>(m->since));
   }
   // Whole is what was filled in this very membership.
   void fit(std::optional<State> const& s) {
@@ -212,8 +218,8 @@
   std::deque<Kept> ret_order_;  // oldest first
   std::size_t ret_bytes_ = 0;   // of all in it
   bool filling_ = false;
-  Epoch fit_at_{~0ULL};    // the epoch for which that was last looked at
-  std::string handing_;    // to whom our first answers go
+  Epoch fit_at_{~0ULL};  // the epoch for which that was last looked at
+  std::string handing_;  // to whom our first answers go
   std::size_t hand_ix_ = 0;
   Secs rebuild_at_ = 0;
   log4cplus::Logger lg_ = log4cplus::Logger::getInstance("archivist");
--- a/packages/desks/include/desks/members.hpp
+++ b/packages/desks/include/desks/members.hpp
@@ -12,7 +12,8 @@
 // or knocks, in our place, and for a restart otherwise.
 class MemberDesk {
  public:
-  MemberDesk(House& h, KeyDesk& k, Secs now) : h_(h), keys_(k), watch_(plan(h.st.bounds), now), join_at_(now + 0.3 + 1.2 * random01()) {}
+  MemberDesk(House& h, KeyDesk& k, Secs now)
+      : h_(h), keys_(k), watch_(plan(h.st.bounds), now), join_at_(now + 0.3 + 1.2 * random01()) {}
 
   void tick(Secs now) {
     if (last_ > 0 && now - last_ > 1.0) watch_.forgive(now);
@@ -35,7 +36,9 @@
   }
 
   // Does the end of this process wait for its leave?
-  bool holds_up(Secs now) const { return h_.leaving > 0 && !left_ && heir(now) && now - h_.leaving < h_.st.bounds.gracePeriodS - 1.5; }
+  bool holds_up(Secs now) const {
+    return h_.leaving > 0 && !left_ && heir(now) && now - h_.leaving < h_.st.bounds.gracePeriodS - 1.5;
+  }
   void term(Secs now) {
     if (heir(now)) LOG4CPLUS_INFO(lg_, "A node of zone " << h_.st.zone << " came in our place: we leave the roster.");
   }
@@ -79,7 +82,8 @@
     w.Key("removed");
     w.StartArray();
     if (h_.committed)
-      for (Retired const& x : h_.committed->retired) w.String(x.ip.c_str());
+      for (Retired const& x : h_.committed->retired)
+        w.String(x.ip.c_str());
     w.EndArray();
     w.Key("bears");
     w.StartObject();
@@ -104,7 +108,8 @@
     return p;
   }
   Tolerance tolerance() const {
-    return {static_cast<u32>(h_.st.toleranceMachines), static_cast<u32>(h_.st.toleranceZones), static_cast<u32>(h_.st.toleranceRegions)};
+    return {static_cast<u32>(h_.st.toleranceMachines), static_cast<u32>(h_.st.toleranceZones),
+            static_cast<u32>(h_.st.toleranceRegions)};
   }
   Member const* me() const {
     Member const* m = h_.committed ? h_.committed->member(h_.st.ip) : nullptr;
@@ -121,7 +126,8 @@
     seen_ = h_.committed->epoch;
     any_ = true;
     in_ = me() != nullptr;
-    if (was && !in_ && h_.leaving == 0) LOG4CPLUS_WARN(lg_, "We were taken out of the roster. What we held of keys counts no more.");
+    if (was && !in_ && h_.leaving == 0)
+      LOG4CPLUS_WARN(lg_, "We were taken out of the roster. What we held of keys counts no more.");
     join_at_ = std::min(join_at_, now + 0.3 * random01());
   }
 
@@ -178,14 +184,16 @@
           forget_wider(s, e);
           Member const* const by = s.member(x.by.ip);
           Member const* const m = s.member(x.gone.ip);
-          *out = by != nullptr && by->whole && by->same_disk(x.by) && m != nullptr && m->since == x.gone.since && s.dismiss(x.gone.ip, x.gone.life);
+          *out = by != nullptr && by->whole && by->same_disk(x.by) && m != nullptr && m->since == x.gone.since &&
+                 s.dismiss(x.gone.ip, x.gone.life);
           return *out;
         },
         [this, x = *x, out](State const* s) {
           swapping_ = false;
           if (s == nullptr || !*out) return;
           watch_.used(x.by.ip);
-          LOG4CPLUS_INFO(lg_, "Member " << x.gone.ip << " was silent and is out; " << x.by.ip << " stands in its place.");
+          LOG4CPLUS_INFO(lg_,
+                         "Member " << x.gone.ip << " was silent and is out; " << x.by.ip << " stands in its place.");
         },
         2.0);
   }
@@ -195,7 +203,9 @@
     if (!h_.committed || me() == nullptr) return false;
     if (watch_.newcomer(*h_.committed, h_.st.zone, h_.st.ip, now) != nullptr) return true;
     for (auto const& [id, p] : h_.peers)
-      if (p.hello.role == 1 && p.hello.zone == h_.st.zone && p.hello.ip != h_.st.ip && p.ch && p.ch->up() && h_.committed->member(p.hello.ip) == nullptr) return true;
+      if (p.hello.role == 1 && p.hello.zone == h_.st.zone && p.hello.ip != h_.st.ip && p.ch && p.ch->up() &&
+          h_.committed->member(p.hello.ip) == nullptr)
+        return true;
     return false;
   }
 
@@ -220,8 +230,10 @@
           asking_ = false;
           if (s == nullptr) return;
           left_ = true;  // out, or not to go: a restart then
-          if (why->empty()) LOG4CPLUS_INFO(lg_, "We left the roster.");
-          else LOG4CPLUS_WARN(lg_, "We stay in the roster: " << *why << ".");
+          if (why->empty())
+            LOG4CPLUS_INFO(lg_, "We left the roster.");
+          else
+            LOG4CPLUS_WARN(lg_, "We stay in the roster: " << *why << ".");
         },
         1.0);
   }
@@ -238,14 +250,16 @@
           forget_wider(s, e);
           Member const* const m = s.member(ip);
           o->why.clear();
-          o->known = m != nullptr || std::any_of(s.retired.begin(), s.retired.end(), [&](Retired const& x) { return x.ip == ip; });
+          o->known = m != nullptr ||
+                     std::any_of(s.retired.begin(), s.retired.end(), [&](Retired const& x) { return x.ip == ip; });
           if (m == nullptr) return false;
           Retired x;
           x.ip = ip;
           x.life = m->life;
           if (!take_out(s, ip, x.life, t, o->why)) return false;
           s.retired.push_back(x);
-          while (s.retired.size() > most_retired) s.retired.erase(s.retired.begin());
+          while (s.retired.size() > most_retired)
+            s.retired.erase(s.retired.begin());
           return true;
         },
         [this, r, ip, o](State const* s) {
@@ -270,7 +284,8 @@
         [this, r, ip, known](State const* s) {
           if (s == nullptr) return h_.write(r, fault(503, "no majority in time"));
           // Nobody needs to be told beforehand: a new node comes in by itself.
-          if (!*known && h_.mates.count(ip) == 0) return h_.write(r, fault(404, ip + " has not been heard of; start it and it comes in by itself"));
+          if (!*known && h_.mates.count(ip) == 0)
+            return h_.write(r, fault(404, ip + " has not been heard of; start it and it comes in by itself"));
           h_.write(r, CallRet{200, "{}"});
         },
         h_.patience());
--- a/packages/desks/include/desks/register.hpp
+++ b/packages/desks/include/desks/register.hpp
@@ -19,7 +19,9 @@
 class RegisterDesk {
  public:
   explicit RegisterDesk(House& h)
-      : h_(h), proposer_(h.st.ip, [this](Ballot have, Ballot bal) { return accepted() == bal ? h_.acceptor->since(have) : std::nullopt; }),
+      : h_(h),
+        proposer_(h.st.ip, [this](Ballot have,
+                                  Ballot bal) { return accepted() == bal ? h_.acceptor->since(have) : std::nullopt; }),
         patience_((h.st.linkMbps > 0 ? h.st.linkMbps : 10) * 1e6 / 8) {}
 
   sigc::signal<void()> on_view;          // the view changed; before the nodes we feed hear of it
@@ -36,13 +38,15 @@
       h_.vellum = std::make_unique<Vellum>(h_.eb, dir);
       d = h_.vellum->load();
     } catch (Unreadable const& e) {
-      LOG4CPLUS_ERROR(lg_, "The register in " << dir << " can't be read whole (" << e.what() << "); this disk begins a new life.");
+      LOG4CPLUS_ERROR(
+          lg_, "The register in " << dir << " can't be read whole (" << e.what() << "); this disk begins a new life.");
       h_.vellum.reset();
       Store::set_aside(dir);
       h_.vellum = std::make_unique<Vellum>(h_.eb, dir);
       d = h_.vellum->load();
     }
-    bool const seed = std::any_of(h_.st.seeds.begin(), h_.st.seeds.end(), [&](Addr const& a) { return a.ip == h_.st.ip; });
+    bool const seed =
+        std::any_of(h_.st.seeds.begin(), h_.st.seeds.end(), [&](Addr const& a) { return a.ip == h_.st.ip; });
     // An empty disk is a new member, unless the system itself begins here.
     bool const founder = d.fresh && h_.st.bootstrap && seed;
     Life const l = d.head ? d.head->life : founder ? Life(1) : Life((random64() >> 2) | 2);
@@ -115,7 +119,8 @@
   }
   // The way to a mate is up: what it missed of our round, and what we may have missed.
   void reached(std::string const& ip, Link& l) {
-    for (auto& o : proposer_.resend(ip)) send_out(o);
+    for (auto& o : proposer_.resend(ip))
+      send_out(o);
     l.send(Kind::pull, 0, lacks());
   }
   // A mate has the value of b in force.
@@ -233,7 +238,9 @@
     }
     if (!c.delta.empty()) {
       Delta const d = read_delta(c.delta);
-      State const* const base = d.base == bal() && h_.committed ? &*h_.committed : d.base == accepted() && h_.acceptor->state() ? &*h_.acceptor->state() : nullptr;
+      State const* const base = d.base == bal() && h_.committed                ? &*h_.committed
+                                : d.base == accepted() && h_.acceptor->state() ? &*h_.acceptor->state()
+                                                                               : nullptr;
       if (base != nullptr) {
         State s = *base;
         apply(s, d);
@@ -251,7 +258,8 @@
       proposer_.abandon();
       std::vector<Call> b;
       b.swap(batch_);
-      for (auto it = b.rbegin(); it != b.rend(); ++it) calls_.push_front(std::move(*it));
+      for (auto it = b.rbegin(); it != b.rend(); ++it)
+        calls_.push_front(std::move(*it));
     }
     pump();
   }
@@ -276,10 +284,14 @@
     Secs until = 0;
   };
 
-  Pull lacks() const { return Pull{best() != nullptr ? best()->bal : Ballot(), bal(), gather_.have(), gather_.after()}; }
+  Pull lacks() const {
+    return Pull{best() != nullptr ? best()->bal : Ballot(), bal(), gather_.have(), gather_.after()};
+  }
 
   // Our vote as it is now, with what it changed of the value.
-  void vote(std::vector<ValueRow> rows, std::function<void(bool)> done) { writer_->write(h_.acceptor->head(), std::move(rows), std::move(done)); }
+  void vote(std::vector<ValueRow> rows, std::function<void(bool)> done) {
+    writer_->write(h_.acceptor->head(), std::move(rows), std::move(done));
+  }
 
   template <class R>
   void reply_after(ChannelP const& ch, Kind k, u32 tag, R const& r, Acceptor::Step s) {
@@ -329,7 +341,8 @@
         *b,
         [this](State& s) {
           bool any = false;
-          for (Call& c : batch_) any = c.change(s) || any;
+          for (Call& c : batch_)
+            any = c.change(s) || any;
           return any;
         },
         now, h_.committed ? std::optional<Epoch>(h_.committed->epoch) : std::nullopt));
@@ -343,7 +356,8 @@
   }
 
   void outs(std::vector<Proposer::Out> const& v) {
-    for (auto const& o : v) send_out(o);
+    for (auto const& o : v)
+      send_out(o);
     round_over();
   }
 
@@ -401,13 +415,16 @@
         if (m.link) m.link->send(pc);
       learn(to);
       if (proposer_.changed())
-        for (Call& x : b) x.done(&to);
+        for (Call& x : b)
+          x.done(&to);
       else  // another's step of the roster was brought to its end first
-        for (auto it = b.rbegin(); it != b.rend(); ++it) calls_.push_front(std::move(*it));
+        for (auto it = b.rbegin(); it != b.rend(); ++it)
+          calls_.push_front(std::move(*it));
     } else {
       ++losses_;
       next_round_ = now + (0.05 + 0.15 * random01()) * std::min(losses_, 6);
-      for (auto it = b.rbegin(); it != b.rend(); ++it) calls_.push_front(std::move(*it));
+      for (auto it = b.rbegin(); it != b.rend(); ++it)
+        calls_.push_front(std::move(*it));
     }
     after(h_.eb, std::max(0.0, next_round_ - now), [this] { pump(); });
   }
@@ -426,7 +443,8 @@
       vote(std::move(w.rows), [this, b = s.bal](bool ok) {
         if (ok) durable_ = std::max(durable_, b);
       });
-    for (Member const& m : s.roster) h_.mate(m.ip);
+    for (Member const& m : s.roster)
+      h_.mate(m.ip);
     show(old ? &*old : nullptr, s);
     bool const moved = !old || old->epoch != s.epoch;
     if (moved) LOG4CPLUS_INFO(lg_, "Roster of " << s.roster.size() << ".");
@@ -444,7 +462,8 @@
     if (old == nullptr) {
       changed_since_ = h_.view.bal;
       n.state = codec::pack(h_.view);
-      for (Item const& i : h_.view.items) see_partner(i);
+      for (Item const& i : h_.view.items)
+        see_partner(i);
     } else {
       Delta const d = delta_of(was, h_.view);
       for (Item const& i : d.items) {
--- a/packages/desks/include/desks/rollouts.hpp
+++ b/packages/desks/include/desks/rollouts.hpp
@@ -27,7 +27,8 @@
     // fill them.
     RolloutPlan plan = h_.st.rollout;
     double bytes = 0;
-    for (Item const& i : a.items) bytes += static_cast<double>(i.body.size() + i.key.size());
+    for (Item const& i : a.items)
+      bytes += static_cast<double>(i.body.size() + i.key.size());
     plan.resendS += bytes / 200e3;
     plan.stageS += bytes / 400e3;
     Staged& g = rollouts_.emplace(id, Staged{Rollout(id, plan, now), o, r, now, {}, 99, {}}).first->second;
@@ -56,7 +57,8 @@
       else
         ++it;
     }
-    while (notes_.size() > 64) notes_.erase(notes_.begin());
+    while (notes_.size() > 64)
+      notes_.erase(notes_.begin());
   }
 
   void order_call(evhttp_request* r, std::string const& text, RollOrder o) {
@@ -65,7 +67,8 @@
     if (text.empty() || *end != '\0') return h_.write(r, fault(400, "id: wants a number"));
     if (auto const it = rollouts_.find(id); it != rollouts_.end()) {
       Secs const now = now_s();
-      if (!it->second.ro.heed(o, now)) return h_.write(r, fault(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
+      if (!it->second.ro.heed(o, now))
+        return h_.write(r, fault(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
       stage_on(it->second, now);
       return h_.write(r, CallRet{200, "{}"});
     }
@@ -74,16 +77,19 @@
     auto const it = notes_.find(id);
     if (it == notes_.end()) return h_.write(r, fault(503, "id: no such rollout is known here"));
     Member const* m = h_.committed ? h_.committed->member(it->second.at) : nullptr;
-    if (m == nullptr || m->ip == h_.st.ip || !h_.up(m->ip)) return h_.write(r, fault(503, "the node that leads it is not in touch"));
+    if (m == nullptr || m->ip == h_.st.ip || !h_.up(m->ip))
+      return h_.write(r, fault(503, "the node that leads it is not in touch"));
     char const* const what = o == RollOrder::pause ? "Pause/" : o == RollOrder::resume ? "Resume/" : "Abort/";
-    evhttp_add_header(evhttp_request_get_output_headers(r), "Location", ("http://" + Addr{m->ip, m->control}.str() + "/-/Rollout." + what + text).c_str());
+    evhttp_add_header(evhttp_request_get_output_headers(r), "Location",
+                      ("http://" + Addr{m->ip, m->control}.str() + "/-/Rollout." + what + text).c_str());
     h_.write(r, CallRet{307, "{}"});
   }
 
   std::string rollout_status() const {
     std::map<u64, RollNote> all = notes_;
     Secs const now = now_s();
-    for (auto const& [id, g] : rollouts_) all[id] = note_of(g, now);
+    for (auto const& [id, g] : rollouts_)
+      all[id] = note_of(g, now);
     rapidjson::StringBuffer sb;
     rapidjson::Writer<rapidjson::StringBuffer> w(sb);
     w.StartObject();
@@ -109,7 +115,8 @@
       w.Double(std::round(n.age * 1000) / 1000);
       w.Key("items");
       w.StartArray();
-      for (std::string const& i : n.items) w.String(i.c_str());
+      for (std::string const& i : n.items)
+        w.String(i.c_str());
       w.EndArray();
       w.EndObject();
     }
@@ -122,7 +129,8 @@
     auto const it = rollouts_.find(r.id);
     if (it == rollouts_.end()) {
       // Asked for by the mate that leads it.
-      if (auto const f = held_for_.find(r.id); f != held_for_.end() && h_.mate(f->second.first).link) h_.mate(f->second.first).link->send(Kind::holdR, 0, r);
+      if (auto const f = held_for_.find(r.id); f != held_for_.end() && h_.mate(f->second.first).link)
+        h_.mate(f->second.first).link->send(Kind::holdR, 0, r);
       return;
     }
     it->second.ro.heard(r.front, r.holds);
@@ -159,7 +167,8 @@
   bool worth_staging(Amendment const& a) const {
     if (!h_.committed || sites_.catalog().rows().empty()) return false;
     bool standing = false;
-    for (Item const& i : h_.committed->items) standing = standing || (i.key[0] == 'r' && !i.gone);
+    for (Item const& i : h_.committed->items)
+      standing = standing || (i.key[0] == 'r' && !i.gone);
     if (!standing || !brings_news(h_.committed->items, a)) return false;
     auto items = h_.committed->by_key();
     std::string f;
@@ -172,7 +181,8 @@
     std::map<std::string, std::string> m;
     for (auto const& [f, s] : sites_.catalog().rows())
       // What a mate told us is older by its way here.
-      if (s.channel != 0 ? h_.peers.count(s.channel) > 0 && now - s.heard < 1.3 : h_.up(s.via) && now - s.heard < 1.6) m[f] = s.zone;
+      if (s.channel != 0 ? h_.peers.count(s.channel) > 0 && now - s.heard < 1.3 : h_.up(s.via) && now - s.heard < 1.6)
+        m[f] = s.zone;
     return m;
   }
 
@@ -217,8 +227,9 @@
     }
     if (p != g.told || g.ro.stage() != g.told_stage) {
       if (p != g.told && p != RollPhase::holding && p != RollPhase::committing)
-        LOG4CPLUS_INFO(lg_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1 << " of " << g.ro.stages() << ", "
-                                       << g.ro.holding() << " hold it, " << g.ro.wanted() << " are enough.");
+        LOG4CPLUS_INFO(lg_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1 << " of "
+                                       << g.ro.stages() << ", " << g.ro.holding() << " hold it, " << g.ro.wanted()
+                                       << " are enough.");
       g.told = p;
       g.told_stage = g.ro.stage();
       RollNote const n = note_of(g, now);
@@ -265,15 +276,16 @@
     n.wanted = static_cast<u32>(g.ro.wanted());
     n.holding = static_cast<u32>(g.ro.holding());
     n.age = now - g.start;
-    for (Item const& i : g.o.asked().items) n.items.push_back(i.key + "@" + json::gen_str(i.gen));
+    for (Item const& i : g.o.asked().items)
+      n.items.push_back(i.key + "@" + json::gen_str(i.gen));
     return n;
   }
 
   Ballot bal() const { return h_.committed ? h_.committed->bal : Ballot(); }
   House& h_;
   SiteDesk& sites_;
-  std::map<u64, Staged> rollouts_;  // led from here
-  std::map<u64, RollNote> notes_;   // led elsewhere, as told
+  std::map<u64, Staged> rollouts_;                        // led from here
+  std::map<u64, RollNote> notes_;                         // led elsewhere, as told
   std::map<u64, std::pair<std::string, Secs>> held_for_;  // passed on for a mate: who leads them
   log4cplus::Logger lg_ = log4cplus::Logger::getInstance("archivist");
 };
--- a/packages/desks/include/desks/servers.hpp
+++ b/packages/desks/include/desks/servers.hpp
@@ -24,7 +24,8 @@
       ops.push_back(std::move(o));
     }
     h_.vellum->submit_lazy(std::move(ops));
-    for (Row const& r : v) pending_[r.id] = from;
+    for (Row const& r : v)
+      pending_[r.id] = from;
     if (flushing_) return;
     flushing_ = true;
     // Changes that come together go out together.
@@ -36,8 +37,10 @@
     std::vector<Row> news, back;
     for (Row r : v) {
       drained(r);
-      if (roll_.join(r, now)) news.push_back(*roll_.get(r.id, now));
-      else if (auto const mine = roll_.get(r.id, now); mine && mine->seq > r.seq && mine->state != r.state) back.push_back(*mine);
+      if (roll_.join(r, now))
+        news.push_back(*roll_.get(r.id, now));
+      else if (auto const mine = roll_.get(r.id, now); mine && mine->seq > r.seq && mine->state != r.state)
+        back.push_back(*mine);
     }
     spread(news, from);
     auto const it = h_.mates.find(from);
@@ -164,8 +167,10 @@
       bool const near = !from.empty() && h_.is_near(from);
       if (many) {
         if (!near) home.rows.push_back(*r);
-        if (from.empty()) abroad.rows.push_back(*r);
-        else if (near) back.rows.push_back(*r);
+        if (from.empty())
+          abroad.rows.push_back(*r);
+        else if (near)
+          back.rows.push_back(*r);
       } else if (from.empty()) {  // with few mates the first teller reached everyone itself
         home.rows.push_back(*r);
       }
@@ -181,13 +186,16 @@
     std::map<std::string, std::vector<Link*>> far;
     for (auto& [ip, m] : h_.mates)
       if (m.link && m.link->up()) {
-        if (!many || h_.is_near(ip)) near.push_back(m.link.get());
-        else far[h_.region_of_mate(ip)].push_back(m.link.get());
+        if (!many || h_.is_near(ip))
+          near.push_back(m.link.get());
+        else
+          far[h_.region_of_mate(ip)].push_back(m.link.get());
       }
     auto tell = [](News const& n, std::vector<Link*> const& to) {
       if (n.rows.empty() || to.empty()) return;
       Parcel const p = parcel(Kind::rows, codec::pack(n));
-      for (Link* l : to) l->send(p);
+      for (Link* l : to)
+        l->send(p);
     };
     std::vector<Link*> two, one;
     for (auto& [g, l] : far) {
@@ -219,7 +227,7 @@
   House& h_;
   Roll roll_;
   std::map<std::string, std::string> pending_;  // rows to pass on: id -> the mate that told us
-  Parcel whole_;  // the whole roll as it was at whole_at_
+  Parcel whole_;                                // the whole roll as it was at whole_at_
   Secs whole_at_ = -1e9;
   bool whole_in_contact_ = false;  // when it was made ready
   bool flushing_ = false;
--- a/packages/desks/include/desks/sites.hpp
+++ b/packages/desks/include/desks/sites.hpp
@@ -61,7 +61,8 @@
       // News may be on its way past us; a difference that lasts is mended by the whole.
       if (off >= 2) {
         off = 0;
-        if (auto const it = h_.mates.find(origin); it != h_.mates.end() && it->second.link) it->second.link->send(Kind::sitesAsk, 0, SiteNote{});
+        if (auto const it = h_.mates.find(origin); it != h_.mates.end() && it->second.link)
+          it->second.link->send(Kind::sitesAsk, 0, SiteNote{});
       }
     }
     // Counts change with rows that come or go; else once a tick is enough.
@@ -73,13 +74,15 @@
     SiteNote n;
     n.origin = h_.st.ip;
     for (std::string const& f : mine_)
-      if (auto const it = catalog_.rows().find(f); it != catalog_.rows().end() && it->second.channel != 0) n.rows.push_back(row_of(it->second, now));
+      if (auto const it = catalog_.rows().find(f); it != catalog_.rows().end() && it->second.channel != 0)
+        n.rows.push_back(row_of(it->second, now));
     ch.send(Kind::sites, 0, n);
   }
 
   void directory(evhttp_request* r) {
     std::string const uri = evhttp_request_get_uri(r);
-    if (uri.compare(0, 12, "/-/resolve?n") != 0 && uri.compare(0, 11, "/-/resolve?") != 0 && uri != "/-/resolve") return h_.write(r, fault(404, "no such call"));
+    if (uri.compare(0, 12, "/-/resolve?n") != 0 && uri.compare(0, 11, "/-/resolve?") != 0 && uri != "/-/resolve")
+      return h_.write(r, fault(404, "no such call"));
     if (evhttp_request_get_command(r) != EVHTTP_REQ_GET) return h_.write(r, fault(405, "wants GET"));
     evkeyvalq q{};
     evhttp_parse_query(uri.c_str(), &q);
@@ -92,7 +95,8 @@
     auto const l = h_.in_contact() ? catalog_.resolve(c, h_.out) : catalog_.resolve(c, cordoned());
     if (l.empty()) return h_.write(r, fault(503, "no site is ready"));
     schema::ResolveRet ret;
-    for (Site const* s : l) ret.addresses.push_back(s->front);
+    for (Site const* s : l)
+      ret.addresses.push_back(s->front);
     // Who has but one address has nowhere else to go until it asks again.
     ret.ttlS = std::min(l.size() > 1 ? 2.0 : 1.0, h_.st.bounds.ttlMaxS);
     h_.write(r, CallRet{200, json::render(ret)});
@@ -103,7 +107,8 @@
   void count_sites(Secs now) {
     std::map<std::string, u32> n;
     counted_rows_ = catalog_.rows().size();
-    for (auto const& [f, s] : catalog_.rows()) ++n[s.zone];
+    for (auto const& [f, s] : catalog_.rows())
+      ++n[s.zone];
     bool changed = false;
     for (auto& [z, c] : counts_)
       if (n[z] >= c.n || !h_.in_contact()) c.seen = now;  // out of contact we may just not hear of them
@@ -142,7 +147,8 @@
     std::size_t const n = std::min<std::size_t>(6, v.size());
     std::partial_sort(v.begin(), v.begin() + static_cast<long>(n), v.end());
     std::vector<std::string> out;
-    for (std::size_t i = 0; i < n; ++i) out.push_back(v[i].second);
+    for (std::size_t i = 0; i < n; ++i)
+      out.push_back(v[i].second);
     return out;
   }
 
@@ -174,11 +180,13 @@
     return d;
   }
   void load(std::vector<ZoneCount> const& l, Secs now) {
-    for (ZoneCount const& z : l) counts_[z.zone] = Counted{z.n, now};
+    for (ZoneCount const& z : l)
+      counts_[z.zone] = Counted{z.n, now};
   }
   double proxies() const {
     double n = 0;
-    for (auto const& [z, c] : counts_) n += c.n;
+    for (auto const& [z, c] : counts_)
+      n += c.n;
     return n;
   }
   u32 proxies_in(std::string const& zone) const {
@@ -193,7 +201,8 @@
   // Out of contact orders may be old; then the sites' own word of being drained counts too.
   std::set<std::string> cordoned() const {
     std::set<std::string> v;
-    for (auto const& [name, u] : h_.out) v.insert(name);
+    for (auto const& [name, u] : h_.out)
+      v.insert(name);
     for (auto const& [f, x] : catalog_.rows())
       if (x.drain.stage != 0) v.insert(f);
     return v;
@@ -242,8 +251,10 @@
       auto const [t, fresh] = far_.try_emplace(*it);
       Site& was = t->second;
       bool const drains = x.drain.life != 0;
-      bool const moved = fresh || was.ready != x.ready || std::abs(was.load - x.load) > 0.2 || was.drain.life != x.drain.life || was.drain.stage != x.drain.stage ||
-                         (drains && (was.drain.keyed != x.drain.keyed || was.drain.uploads != x.drain.uploads || was.current != x.current));
+      bool const moved = fresh || was.ready != x.ready || std::abs(was.load - x.load) > 0.2 ||
+                         was.drain.life != x.drain.life || was.drain.stage != x.drain.stage ||
+                         (drains && (was.drain.keyed != x.drain.keyed || was.drain.uploads != x.drain.uploads ||
+                                     was.current != x.current));
       if (moved) {
         was = x;
         n.rows.push_back(row_of(x, now));
@@ -265,7 +276,8 @@
     for (auto& [ip, m] : h_.mates)
       if (m.link && m.link->up() && !h_.is_near(ip)) by_region[h_.region_of_mate(ip)].push_back(m.link.get());
     Parcel const pc = parcel(Kind::sites, codec::pack(n));
-    for (auto& [g, l] : by_region) l[random64() % l.size()]->send(pc);
+    for (auto& [g, l] : by_region)
+      l[random64() % l.size()]->send(pc);
   }
 
   struct Counted {
@@ -275,11 +287,11 @@
 
   House& h_;
   Catalog<NearSelector> catalog_{1.9, 1.2};
-  std::set<std::string> fresh_sites_;  // heard since mates were last told
+  std::set<std::string> fresh_sites_;      // heard since mates were last told
   std::map<std::string, Counted> counts_;  // proxies by zone
-  std::set<std::string> mine_;        // fronts that we are the primary of
-  std::map<std::string, Site> far_;   // of them, as other regions were told
-  std::map<std::string, int> far_off_;  // mates whose marks differed from ours, and how often in a row
+  std::set<std::string> mine_;             // fronts that we are the primary of
+  std::map<std::string, Site> far_;        // of them, as other regions were told
+  std::map<std::string, int> far_off_;     // mates whose marks differed from ours, and how often in a row
   Secs far_told_ = 0;
   std::size_t counted_rows_ = 0;  // rows when they were last counted
   u64 counts_turn_ = 1;
--- a/packages/desks/include/desks/surveys.hpp
+++ b/packages/desks/include/desks/surveys.hpp
@@ -16,7 +16,8 @@
     u64 const id = random64() >> 16 | 1;
     Asked& q = asked_[id];
     q.r = r;
-    for (auto const& [f, s] : sites_.catalog().rows()) q.waiting.insert(f);
+    for (auto const& [f, s] : sites_.catalog().rows())
+      q.waiting.insert(f);
     SurveyAsk a;
     a.id = id;
     survey_sites(a, "");
@@ -49,7 +50,8 @@
     if (s.id == held_id_ && on_held_) return on_held_(s);
     auto const it = asked_.find(s.id);
     if (it == asked_.end()) {
-      if (auto const f = surveys_for_.find(s.id); f != surveys_for_.end() && h_.mate(f->second.first).link && h_.mate(f->second.first).link->up())
+      if (auto const f = surveys_for_.find(s.id);
+          f != surveys_for_.end() && h_.mate(f->second.first).link && h_.mate(f->second.first).link->up())
         h_.mate(f->second.first).link->ch()->send(Kind::surveyR, 0, body);
       return;
     }
@@ -86,7 +88,8 @@
       x.region = g;
       x.proxies = sites_.proxies_in(z);
       if (h_.committed)
-        for (Evac const& e : h_.committed->evacs) x.evacuated = x.evacuated || (e.zone == z && e.on);
+        for (Evac const& e : h_.committed->evacs)
+          x.evacuated = x.evacuated || (e.zone == z && e.on);
       c.zones.push_back(std::move(x));
     }
     for (Row const& r : servers_.roll().all(now_s())) {
@@ -105,7 +108,8 @@
       Compiled const man = Compiled::from(h_.committed->items);
       std::set<std::string> busy;
       for (Survey const& s : q.got)
-        for (LaneRate const& l : s.lanes) busy.insert(l.lane);
+        for (LaneRate const& l : s.lanes)
+          busy.insert(l.lane);
       for (auto const& [k, l] : man.all_lanes()) {
         if (busy.count(l->name) == 0) continue;
         CapLane x;
@@ -116,7 +120,9 @@
         x.homes = l->homes;
         c.lanes.push_back(std::move(x));
         for (auto const& [svc, gain] : l->to)
-          if (PoolDef const* p = man.pool(svc); p != nullptr && std::none_of(c.pools.begin(), c.pools.end(), [&](CapPool const& y) { return y.name == svc; })) {
+          if (PoolDef const* p = man.pool(svc);
+              p != nullptr &&
+              std::none_of(c.pools.begin(), c.pools.end(), [&](CapPool const& y) { return y.name == svc; })) {
             CapPool y;
             y.name = svc;
             y.connLimit = p->conn_limit;
@@ -126,7 +132,8 @@
       }
     }
     std::map<std::string, std::string> node;
-    for (Survey const& s : q.got) node[s.front] = s.node;
+    for (Survey const& s : q.got)
+      node[s.front] = s.node;
     for (auto const& [f, s] : sites_.catalog().rows()) {
       CapSite x;
       x.front = f;
--- a/packages/drain/include/drain/leaver.hpp
+++ b/packages/drain/include/drain/leaver.hpp
@@ -30,7 +30,8 @@
     DrainWord w;
     w.life = life_;
     if (!concerned()) return w;
-    while (!answered_.empty() && now - answered_.front() > 1.5) answered_.pop_front();
+    while (!answered_.empty() && now - answered_.front() > 1.5)
+      answered_.pop_front();
     w.stage = drains() || said_.stage == static_cast<u32>(Stage::cordoned) ? said_.stage : 0;
     w.keyed = keyed + static_cast<u32>(answered_.size());
     w.uploads = uploads;
--- a/packages/drain/include/drain/nodes.hpp
+++ b/packages/drain/include/drain/nodes.hpp
@@ -17,8 +17,8 @@
   Stage told = Stage::waiting;        // the stage that it says it acts by
   u32 keyed = 0, uploads = 0;         // that it says are open
   u64 life = 0;
-  Secs cordoned_for = 0;              // by its own clock, so that a change of holders costs no time
-  bool current = false;               // it holds the configuration in force
+  Secs cordoned_for = 0;  // by its own clock, so that a change of holders costs no time
+  bool current = false;   // it holds the configuration in force
 };
 
 struct RegionRoom {
@@ -27,8 +27,11 @@
 
 // What each region's nodes carry, and how many of them serve once `without` are out. Nodes that are
 // dark, not ready or out count as nothing, but what they still carry has to be carried.
-std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes, std::function<bool(SeenNode const&)> const& without);
-inline bool is_short(RegionRoom const& r, double headroom) { return r.nodes == 0 || r.load > 1 - headroom; }
+std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes,
+                                       std::function<bool(SeenNode const&)> const& without);
+inline bool is_short(RegionRoom const& r, double headroom) {
+  return r.nodes == 0 || r.load > 1 - headroom;
+}
 
 struct NodePlan {
   Secs old_lists = 15;  // clients may go by lists as old as this
@@ -48,7 +51,10 @@
  public:
   explicit NodeDrainer(NodePlan p) : p_(p) {}
   Moves step(State const& s, std::vector<SeenNode> const& nodes, Secs now);
-  void forget() { at_.clear(); short_.clear(); }  // no longer the holder
+  void forget() {
+    at_.clear();
+    short_.clear();
+  }  // no longer the holder
 
  private:
   struct Mark {
--- a/packages/drain/include/drain/pass.hpp
+++ b/packages/drain/include/drain/pass.hpp
@@ -17,8 +17,8 @@
 };
 // An order as it comes in. Names are front addresses of proxies, or ids of servers.
 struct Order {
-  DB_RECORD(Order, (std::string, id), (bool, servers), (double, headroom), (u32, maxUnavailable), (double, patienceS), (bool, replaced),
-            (std::vector<OrderUnit>, units), (std::vector<Had>, had));
+  DB_RECORD(Order, (std::string, id), (bool, servers), (double, headroom), (u32, maxUnavailable), (double, patienceS),
+            (bool, replaced), (std::vector<OrderUnit>, units), (std::vector<Had>, had));
 };
 // Throws OrderFault with one line that names the thing.
 struct OrderFault : std::runtime_error {
@@ -56,7 +56,9 @@
 // False if there is nothing to change; throws OrderFault if the pass is unknown or over.
 bool command(State& s, u64 id, PassOrder o, std::string const& unit = "");
 
-inline bool is_over(PassState s) { return s == PassState::aborted || s == PassState::done; }
+inline bool is_over(PassState s) {
+  return s == PassState::aborted || s == PassState::done;
+}
 Unit const* unit_of(State const& s, std::string const& name);  // of a pass that is not over
 
 }  // namespace dockbend
--- a/packages/drain/nodes.cpp
+++ b/packages/drain/nodes.cpp
@@ -11,10 +11,13 @@
   std::snprintf(b, sizeof b, f, what.c_str(), x, y);
   return b;
 }
-bool out(Stage s) { return s == Stage::cordoned || s == Stage::draining || s == Stage::empty || s == Stage::released; }
+bool out(Stage s) {
+  return s == Stage::cordoned || s == Stage::draining || s == Stage::empty || s == Stage::released;
+}
 }  // namespace
 
-std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes, std::function<bool(SeenNode const&)> const& without) {
+std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes,
+                                       std::function<bool(SeenNode const&)> const& without) {
   std::map<std::string, RegionRoom> m;
   for (SeenNode const& n : nodes) {
     RegionRoom& r = m[n.region];
@@ -23,14 +26,16 @@
     r.load += n.load;
     r.nodes += n.ready && !without(n) ? 1 : 0;
   }
-  for (auto& [k, r] : m) r.load = r.nodes > 0 ? r.load / r.nodes : r.load;
+  for (auto& [k, r] : m)
+    r.load = r.nodes > 0 ? r.load / r.nodes : r.load;
   return m;
 }
 
 Moves NodeDrainer::step(State const& s, std::vector<SeenNode> const& nodes, Secs now) {
   Moves mv;
   std::map<std::string, SeenNode const*> by_front;
-  for (SeenNode const& n : nodes) by_front[n.front] = &n;
+  for (SeenNode const& n : nodes)
+    by_front[n.front] = &n;
   std::set<std::string> gone;  // out of service for any pass
   for (Unit const& u : s.units)
     if (out(u.stage)) gone.insert(u.name);
@@ -84,19 +89,23 @@
       // A real shortage takes back who can still serve.
       if (real.count(n->region) > 0 && (u.stage == Stage::cordoned || u.stage == Stage::draining)) {
         go(Stage::waiting, 0);
-        want = text("region %s: load is %.2f, at most %.2f is wanted; who can still serve is taken back", n->region, serving.at(n->region).load, 1 - p.headroom);
+        want = text("region %s: load is %.2f, at most %.2f is wanted; who can still serve is taken back", n->region,
+                    serving.at(n->region).load, 1 - p.headroom);
         continue;
       }
       switch (u.stage) {
         case Stage::waiting: {
           if (p.state != PassState::running) break;
-          auto const after = room(nodes, [&](SeenNode const& x) { return gone.count(x.front) > 0 || taking.count(x.front) > 0 || x.front == u.name; });
+          auto const after = room(nodes, [&](SeenNode const& x) {
+            return gone.count(x.front) > 0 || taking.count(x.front) > 0 || x.front == u.name;
+          });
           RegionRoom const& r = after.at(n->region);
           bool const lately = now - short_[n->region].last < p_.steady;
           if (is_short(r, p.headroom) || lately) {
             if (want.empty())
               want = r.nodes == 0 ? "region " + n->region + ": nobody would be left"
-                                  : text("region %s: load would be %.2f, at most %.2f is wanted", n->region, r.load, 1 - p.headroom);
+                                  : text("region %s: load would be %.2f, at most %.2f is wanted", n->region, r.load,
+                                         1 - p.headroom);
             break;
           }
           taking.insert(u.name);
@@ -104,7 +113,8 @@
           break;
         }
         case Stage::cordoned:
-          if (n->cordoned_for >= p_.old_lists && n->life != 0 && n->told >= Stage::cordoned) go(Stage::draining, n->life);
+          if (n->cordoned_for >= p_.old_lists && n->life != 0 && n->told >= Stage::cordoned)
+            go(Stage::draining, n->life);
           break;
         case Stage::draining: {
           if (n->life != 0 && n->life != u.life) {  // it began anew under way: what is drained is the new life
@@ -125,8 +135,10 @@
         }
         case Stage::empty:
         case Stage::released:
-          if (n->life != 0 && n->life != u.life && n->ready && n->current) go(Stage::back, n->life);
-          else if (why.empty()) why = label + (n->life == u.life ? ": empty, waits to be restarted" : ": restarted, not ready yet");
+          if (n->life != 0 && n->life != u.life && n->ready && n->current)
+            go(Stage::back, n->life);
+          else if (why.empty())
+            why = label + (n->life == u.life ? ": empty, waits to be restarted" : ": restarted, not ready yet");
           break;
         case Stage::back: break;
       }
--- a/packages/drain/pass.cpp
+++ b/packages/drain/pass.cpp
@@ -85,7 +85,8 @@
     return false;
   }
   std::set<std::string> want;
-  for (OrderUnit const& u : o.units) want.insert(u.name);
+  for (OrderUnit const& u : o.units)
+    want.insert(u.name);
   for (Pass const& p : s.passes)
     if (!is_over(p.state) && p.servers == o.servers && names_of(s, p.id) == want) {
       id = p.id;
@@ -94,7 +95,8 @@
   for (Unit const& u : s.units)
     if (want.count(u.name) > 0) throw OrderFault(409, u.name + ": already in pass " + std::to_string(u.pass));
   std::size_t over = 0;
-  for (Pass const& p : s.passes) over += is_over(p.state) ? 1 : 0;
+  for (Pass const& p : s.passes)
+    over += is_over(p.state) ? 1 : 0;
   for (auto it = s.passes.begin(); over >= kept_passes && it != s.passes.end();) {
     if (!is_over(it->state)) {
       ++it;
@@ -146,7 +148,8 @@
       any = true;
     }
   std::map<u64, u32> back;
-  for (Unit const& u : s.units) back[u.pass] += u.stage == Stage::back ? 1 : 0;
+  for (Unit const& u : s.units)
+    back[u.pass] += u.stage == Stage::back ? 1 : 0;
   for (Pass& p : s.passes) {
     if (is_over(p.state) || p.back == back[p.id]) continue;
     p.back = back[p.id];
@@ -179,7 +182,8 @@
       drop_units(s, id);
       return true;
     case PassOrder::take_back: {
-      auto const it = std::find_if(s.units.begin(), s.units.end(), [&](Unit const& u) { return u.pass == id && u.name == unit; });
+      auto const it =
+          std::find_if(s.units.begin(), s.units.end(), [&](Unit const& u) { return u.pass == id && u.name == unit; });
       if (it == s.units.end()) throw OrderFault(404, "not in this pass: " + unit);
       if (it->stage == Stage::back) return false;
       it->stage = Stage::back;
--- a/packages/drain/servers.cpp
+++ b/packages/drain/servers.cpp
@@ -22,8 +22,10 @@
 std::vector<std::string> ServerDrainer::interest(State const& s) {
   std::vector<std::string> v, wait;
   for (Unit const& u : s.units)
-    if (Pass const* p = s.pass(u.pass); p != nullptr && p->servers && u.stage != Stage::back) (u.stage == Stage::waiting ? wait : v).push_back(u.name);
-  for (std::size_t i = 0; i < std::min(p_.window, wait.size()); ++i) v.push_back(wait[(cursor_ + i) % wait.size()]);
+    if (Pass const* p = s.pass(u.pass); p != nullptr && p->servers && u.stage != Stage::back)
+      (u.stage == Stage::waiting ? wait : v).push_back(u.name);
+  for (std::size_t i = 0; i < std::min(p_.window, wait.size()); ++i)
+    v.push_back(wait[(cursor_ + i) % wait.size()]);
   if (!wait.empty()) cursor_ = (cursor_ + p_.window / 4) % wait.size();
   return v;
 }
@@ -31,7 +33,8 @@
 Moves ServerDrainer::step(State const& s, std::vector<SeenServer> const& servers, Secs now) {
   Moves mv;
   std::map<std::string, SeenServer const*> by_id;
-  for (SeenServer const& x : servers) by_id[x.id] = &x;
+  for (SeenServer const& x : servers)
+    by_id[x.id] = &x;
   std::set<std::string> gone;
   for (Unit const& u : s.units)
     if (u.stage == Stage::draining || u.stage == Stage::empty) gone.insert(u.name);
@@ -80,7 +83,8 @@
             m.quiet_since = -1;
             if (now - m.since > p.patience && why.empty()) {
               char b[160];
-              std::snprintf(b, sizeof b, "%s: not empty, %u uploads, %u keyed, %u sessions", u.name.c_str(), x.held.uploads, x.held.keyed, x.held.sessions);
+              std::snprintf(b, sizeof b, "%s: not empty, %u uploads, %u keyed, %u sessions", u.name.c_str(),
+                            x.held.uploads, x.held.keyed, x.held.sessions);
               why = x.told ? b : u.name + ": not every proxy has said what it holds";
             }
           } else if (m.quiet_since < 0) {
@@ -97,14 +101,17 @@
       }
     }
     if (p.state == PassState::running) {
-      std::sort(next.begin(), next.end(), [](SeenServer const* a, SeenServer const* b) { return leaves_before(*a, *b); });
+      std::sort(next.begin(), next.end(),
+                [](SeenServer const* a, SeenServer const* b) { return leaves_before(*a, *b); });
       std::map<std::string, u32> had;
-      for (Had const& h : p.had) had[h.service] = h.n;
+      for (Had const& h : p.had)
+        had[h.service] = h.n;
       for (SeenServer const* x : next) {
         u32 const of = had[x->service] - std::min(had[x->service], p.replaced ? 0 : left[x->service]);
         u32 const missing = of - std::min(of, serving[x->service]);
         if (missing >= p.max_out) {
-          if (why.empty()) why = x->service + ": " + std::to_string(missing) + " of its servers are out, no more may be";
+          if (why.empty())
+            why = x->service + ": " + std::to_string(missing) + " of its servers are out, no more may be";
           continue;
         }
         Place const at{x->service, x->region};
@@ -112,8 +119,8 @@
         if (x->ready && (keeps <= 0 || used[at] > (1 - p.headroom) * keeps)) {
           if (why.empty()) {
             char b[200];
-            std::snprintf(b, sizeof b, "%s in %s: %.0f of %.0f slots would be in use, headroom %.2f is wanted", x->service.c_str(), x->region.c_str(), used[at], keeps,
-                          p.headroom);
+            std::snprintf(b, sizeof b, "%s in %s: %.0f of %.0f slots would be in use, headroom %.2f is wanted",
+                          x->service.c_str(), x->region.c_str(), used[at], keeps, p.headroom);
             why = b;
           }
           continue;
--- a/packages/duty/duty.cpp
+++ b/packages/duty/duty.cpp
@@ -5,7 +5,13 @@
 namespace dockbend {
 
 Duty::Duty(std::string duty, std::string node, std::string ip, DutyPlan p, Secs now)
-    : duty_(std::move(duty)), node_(std::move(node)), ip_(std::move(ip)), p_(p), term_at_(now), born_(now), wait_(0.3 * random01()) {
+    : duty_(std::move(duty)),
+      node_(std::move(node)),
+      ip_(std::move(ip)),
+      p_(p),
+      term_at_(now),
+      born_(now),
+      wait_(0.3 * random01()) {
   p_.margin = std::min(p_.margin, 0.2 * p_.lease);
   p_.renew = std::min(p_.renew, p_.lease / 3);
 }
--- a/packages/duty/envoy.cpp
+++ b/packages/duty/envoy.cpp
@@ -11,7 +11,8 @@
 
 namespace dockbend {
 
-void Envoy::post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads, std::string const& body, Secs within, Done done) {
+void Envoy::post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
+                 std::string const& body, Secs within, Done done) {
   reset();
   done_ = std::move(done);
   bufferevent* bev = bufferevent_socket_new(eb_, -1, BEV_OPT_DEFER_CALLBACKS);
@@ -24,7 +25,8 @@
         int const code = q == nullptr ? 0 : evhttp_request_get_response_code(q);
         Secs wait = -1;
         if (code != 0)
-          if (char const* ra = evhttp_find_header(evhttp_request_get_input_headers(q), "Retry-After"); ra != nullptr) wait = std::strtod(ra, nullptr);
+          if (char const* ra = evhttp_find_header(evhttp_request_get_input_headers(q), "Retry-After"); ra != nullptr)
+            wait = std::strtod(ra, nullptr);
         e->over(code, wait);
       },
       tag_);
@@ -32,10 +34,13 @@
   evhttp_add_header(out, "Host", to_.str().c_str());
   evhttp_add_header(out, "Content-Type", "application/json");
   evhttp_add_header(out, "Connection", "close");
-  for (auto const& [k, v] : heads) evhttp_add_header(out, k.c_str(), v.c_str());
+  for (auto const& [k, v] : heads)
+    evhttp_add_header(out, k.c_str(), v.c_str());
   evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
-  timer_ = evtimer_new(eb_, [](evutil_socket_t, short, void* p) { static_cast<Envoy*>(p)->over(0, -1); }, this);
-  timeval const tv{static_cast<time_t>(within), static_cast<suseconds_t>((within - static_cast<double>(static_cast<time_t>(within))) * 1e6)};
+  timer_ = evtimer_new(
+      eb_, [](evutil_socket_t, short, void* p) { static_cast<Envoy*>(p)->over(0, -1); }, this);
+  timeval const tv{static_cast<time_t>(within),
+                   static_cast<suseconds_t>((within - static_cast<double>(static_cast<time_t>(within))) * 1e6)};
   evtimer_add(timer_, &tv);
   if (evhttp_make_request(ec_, r, EVHTTP_REQ_POST, path.c_str()) != 0) {
     after(eb_, 0, [this, ec = ec_] {
--- a/packages/duty/include/duty/duty.hpp
+++ b/packages/duty/include/duty/duty.hpp
@@ -65,8 +65,8 @@
   Secs still() const { return p_.lease + p_.margin; }
   std::string duty_, node_, ip_, next_;
   DutyPlan p_;
-  Term term_;            // newest seen
-  Secs term_at_ = 0;     // when its fence, counter or next last changed in our sight
+  Term term_;         // newest seen
+  Secs term_at_ = 0;  // when its fence, counter or next last changed in our sight
   Secs born_, wait_ = 0, asked_ = -1e9, held_since_ = 0;
   Secs until_ = 0;       // acts until then
   Secs left_ = -1e9;     // when it last ceased to hold
--- a/packages/duty/include/duty/envoy.hpp
+++ b/packages/duty/include/duty/envoy.hpp
@@ -20,7 +20,8 @@
   Envoy(Envoy const&) = delete;
 
   bool busy() const { return ec_ != nullptr; }
-  void post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads, std::string const& body, Secs within, Done done);
+  void post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
+            std::string const& body, Secs within, Done done);
   void reset();  // the call's Done is not called
 
  private:
--- a/packages/duty/include/duty/reporter.hpp
+++ b/packages/duty/include/duty/reporter.hpp
@@ -8,11 +8,11 @@
 namespace dockbend {
 
 struct ReportPlan {
-  double period = 5;    // reportPeriodS
-  Secs settle = 1.5;    // after a window's end, if every proxy has gone on to the next
-  Secs late = 6;        // else: those that are cut off may come back until then
-  Secs call = 1.0;      // a call's whole deadline
-  Secs gap = 0.05;      // least time between two calls
+  double period = 5;  // reportPeriodS
+  Secs settle = 1.5;  // after a window's end, if every proxy has gone on to the next
+  Secs late = 6;      // else: those that are cut off may come back until then
+  Secs call = 1.0;    // a call's whole deadline
+  Secs gap = 0.05;    // least time between two calls
   Secs back_first = 0.4, back_most = 3.0, told_most = 300;
 };
 
@@ -45,7 +45,6 @@
   std::optional<u64> acked() const { return acked_; }
   Secs call_s() const { return p_.call; }
 
-
  private:
   ReportPlan p_;
   bool calling_ = false;
--- a/packages/duty/reporter.cpp
+++ b/packages/duty/reporter.cpp
@@ -30,7 +30,8 @@
 }
 
 std::optional<Reporter::Send> Reporter::to_send(State const& s, Secs now) {
-  if (acked_ && std::none_of(s.fixed.begin(), s.fixed.end(), [&](FixedWindow const& f) { return f.window == *acked_; })) acked_.reset();
+  if (acked_ && std::none_of(s.fixed.begin(), s.fixed.end(), [&](FixedWindow const& f) { return f.window == *acked_; }))
+    acked_.reset();
   if (calling_ || now < next_) return std::nullopt;
   for (FixedWindow const& f : s.fixed) {
     if (acked_ && f.window <= *acked_) continue;
--- a/packages/errand/arrival.cpp
+++ b/packages/errand/arrival.cpp
@@ -21,11 +21,16 @@
     if (p == nullptr) p = &v;
   };
   for (auto const& [k, v] : heads) {
-    if (same_name(k, "X-Attempt-Id")) first(n.id, v), ++n.ids;
-    else if (same_name(k, "X-Operation-Key")) first(n.key, v), ++n.keys;
-    else if (same_name(k, "Host")) first(n.host, v), ++n.hosts;
-    else if (same_name(k, "X-Time-Left")) first(n.time_left, v);
-    else if (same_name(k, "Authorization")) first(n.authorization, v);
+    if (same_name(k, "X-Attempt-Id"))
+      first(n.id, v), ++n.ids;
+    else if (same_name(k, "X-Operation-Key"))
+      first(n.key, v), ++n.keys;
+    else if (same_name(k, "Host"))
+      first(n.host, v), ++n.hosts;
+    else if (same_name(k, "X-Time-Left"))
+      first(n.time_left, v);
+    else if (same_name(k, "Authorization"))
+      first(n.authorization, v);
   }
   return n;
 }
@@ -46,8 +51,10 @@
   auto const sp = v.find(' ');
   if (sp == std::string_view::npos || !same_name(v.substr(0, sp), "Token")) return {};
   v.remove_prefix(sp);
-  while (!v.empty() && v.front() == ' ') v.remove_prefix(1);
-  while (!v.empty() && v.back() == ' ') v.remove_suffix(1);
+  while (!v.empty() && v.front() == ' ')
+    v.remove_prefix(1);
+  while (!v.empty() && v.back() == ' ')
+    v.remove_suffix(1);
   return v;
 }
 
@@ -59,7 +66,8 @@
 
 std::string const* pick(Lane const& lane, double draw) {
   double sum = 0;
-  for (auto const& [s, g] : lane.to) sum += g;
+  for (auto const& [s, g] : lane.to)
+    sum += g;
   double x = draw * sum;
   for (auto const& [s, g] : lane.to) {
     if (g > 0 && x < g) return &s;
@@ -83,7 +91,8 @@
 
 std::size_t size_of(Heads const& h) {
   std::size_t n = 0;
-  for (auto const& [k, v] : h) n += k.size() + v.size() + 4;
+  for (auto const& [k, v] : h)
+    n += k.size() + v.size() + 4;
   return n;
 }
 
@@ -97,7 +106,8 @@
     return std::move(out);
   };
   // Two names for one request: we would go by the one and the server by the other.
-  if (!well_framed(a) || n.hosts != 1 || n.ids > 1 || n.keys > 1 || !well_formed(a.heads)) return no(verdict_of(400, -1, true));
+  if (!well_framed(a) || n.hosts != 1 || n.ids > 1 || n.keys > 1 || !well_formed(a.heads))
+    return no(verdict_of(400, -1, true));
   if (size_of(a.heads) + a.target.size() > limits.header_bytes) return no(verdict_of(431, -1, true));
   if (a.body > limits.body_bytes) return no(verdict_of(413, -1, true));
   if (a.target.empty() || a.target[0] != '/' || !well_formed_target(a.target)) return no(verdict_of(400, -1, true));
--- a/packages/errand/fence.cpp
+++ b/packages/errand/fence.cpp
@@ -23,7 +23,8 @@
   std::string s;
   for (std::size_t i = 0; i < n_.size(); ++i) {
     if (n_[i] == said_[i]) continue;
-    s += (s.empty() ? "" : ", ") + std::string(drop_name(static_cast<Drop>(i))) + " " + std::to_string(n_[i] - said_[i]);
+    s +=
+        (s.empty() ? "" : ", ") + std::string(drop_name(static_cast<Drop>(i))) + " " + std::to_string(n_[i] - said_[i]);
     said_[i] = n_[i];
   }
   return s;
--- a/packages/errand/heads.cpp
+++ b/packages/errand/heads.cpp
@@ -8,8 +8,8 @@
 
 bool same_letters(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-           return std::tolower(static_cast<unsigned char>(x)) == std::tolower(static_cast<unsigned char>(y));
-         });
+    return std::tolower(static_cast<unsigned char>(x)) == std::tolower(static_cast<unsigned char>(y));
+  });
 }
 
 std::string const* find_head(Heads const& h, std::string_view name) {
@@ -53,7 +53,9 @@
 bool is_token(std::string_view s) {
   static auto const table = [] {
     std::array<bool, 256> t{};
-    for (char const* c = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"; *c != '\0'; ++c) t[static_cast<u8>(*c)] = true;
+    for (char const* c = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"; *c != '\0';
+         ++c)
+      t[static_cast<u8>(*c)] = true;
     return t;
   }();
   for (char const c : s)
@@ -71,9 +73,13 @@
   return ids < 2;
 }
 
-bool well_formed_target(std::string_view uri) { return uri.find(' ') == std::string_view::npos && !has_control(uri); }
+bool well_formed_target(std::string_view uri) {
+  return uri.find(' ') == std::string_view::npos && !has_control(uri);
+}
 
-bool surely_not_run(End e) { return e == End::not_run || e == End::misdirected || e == End::unsent; }
+bool surely_not_run(End e) {
+  return e == End::not_run || e == End::misdirected || e == End::unsent;
+}
 
 char const* reason_of(int code) {
   switch (code) {
@@ -93,7 +99,9 @@
   }
 }
 
-bool promise_code(int code) { return code == 429 || code == 503 || code == 408 || code == 421; }
+bool promise_code(int code) {
+  return code == 429 || code == 503 || code == 408 || code == 421;
+}
 
 Judged examine(Reply const& r, std::string_view attempt_id) {
   u64 len = 0;
--- a/packages/errand/include/errand/arrival.hpp
+++ b/packages/errand/include/errand/arrival.hpp
@@ -20,9 +20,9 @@
 
 struct Admitted {
   LaneP lane;
-  TenantP tenant;      // null: the lane is keyless, or there are no customers
-  bool gated = false;  // there are customers: the client's key stays here
-  std::string key;     // of the operation; two partners may use the same words
+  TenantP tenant;                        // null: the lane is keyless, or there are no customers
+  bool gated = false;                    // there are customers: the client's key stays here
+  std::string key;                       // of the operation; two partners may use the same words
   std::string const* service = nullptr;  // of the lane
   std::vector<std::string> homes;
   bool repeatable = false, upload = false;
--- a/packages/errand/include/errand/course.hpp
+++ b/packages/errand/include/errand/course.hpp
@@ -13,7 +13,8 @@
 class Course {
  public:
   Course() = default;
-  Course(bool repeatable, u32 max_tries, Secs deadline) : repeatable_(repeatable), max_(std::max<u32>(1, max_tries)), deadline_(deadline) {}
+  Course(bool repeatable, u32 max_tries, Secs deadline)
+      : repeatable_(repeatable), max_(std::max<u32>(1, max_tries)), deadline_(deadline) {}
 
   bool repeatable() const { return repeatable_; }
   bool maybe_run() const { return maybe_run_; }
--- a/packages/errand/include/errand/fence.hpp
+++ b/packages/errand/include/errand/fence.hpp
@@ -8,16 +8,16 @@
 namespace dockbend {
 
 enum class Drop : u8 {
-  other_id,    // an answer that bears another request's id
-  no_id,       // one that bears none: it may be anybody's
-  two_ids,     // one that bears two
+  other_id,      // an answer that bears another request's id
+  no_id,         // one that bears none: it may be anybody's
+  two_ids,       // one that bears two
   bare_promise,  // 429, 503 or 408 without X-Not-Run
   broken_frame,  // a length that is missing, doubled or not kept
-  no_seal,     // a success without its seal
-  surplus,     // bytes behind a whole answer
-  late_answer,  // for a request that is over, or for an attempt that was given up
-  late_claim,  // the agent's word for a request that is over
-  other_key,   // a first answer of another key
+  no_seal,       // a success without its seal
+  surplus,       // bytes behind a whole answer
+  late_answer,   // for a request that is over, or for an attempt that was given up
+  late_claim,    // the agent's word for a request that is over
+  other_key,     // a first answer of another key
   count,
 };
 char const* drop_name(Drop d);
--- a/packages/errand/include/errand/heads.hpp
+++ b/packages/errand/include/errand/heads.hpp
@@ -14,7 +14,9 @@
 using Heads = std::vector<std::pair<std::string, std::string>>;
 
 bool same_letters(std::string_view a, std::string_view b);  // of equal length
-inline bool same_name(std::string_view a, std::string_view b) { return a.size() == b.size() && same_letters(a, b); }
+inline bool same_name(std::string_view a, std::string_view b) {
+  return a.size() == b.size() && same_letters(a, b);
+}
 std::string const* find_head(Heads const& h, std::string_view name);
 // Headers that concern one channel only and do not go along.
 bool hop_only(std::string_view name);
@@ -54,7 +56,9 @@
 // What a whole answer on the wire means for the request with this id. Only an answer that
 // bears the id proves anything, be it that the request ran or that it did not.
 Judged examine(Reply const& r, std::string_view attempt_id);
-inline End judge(Reply const& r, std::string_view attempt_id) { return examine(r, attempt_id).end; }
+inline End judge(Reply const& r, std::string_view attempt_id) {
+  return examine(r, attempt_id).end;
+}
 
 // What the proxy says of its own. One place writes it.
 struct Verdict {
@@ -67,6 +71,8 @@
 // that nothing ran; without X-Not-Run the server promised no such thing.
 bool promise_code(int code);
 char const* reason_of(int code);
-inline Verdict verdict_of(int code, Secs retry_after = -1, bool close = false) { return Verdict{code, reason_of(code), retry_after, close}; }
+inline Verdict verdict_of(int code, Secs retry_after = -1, bool close = false) {
+  return Verdict{code, reason_of(code), retry_after, close};
+}
 
 }  // namespace dockbend
--- a/packages/errand/include/errand/request.hpp
+++ b/packages/errand/include/errand/request.hpp
@@ -87,9 +87,7 @@
 
   // ---- attempts ----
   // Nobody takes it.
-  Step none(Secs now, Secs wait, char const* why) {
-    return phase_ == Phase::choice ? give_up(now, wait, why) : Step{};
-  }
+  Step none(Secs now, Secs wait, char const* why) { return phase_ == Phase::choice ? give_up(now, wait, why) : Step{}; }
   void began(Secs now, Secs patience, Secs connect) {
     phase_ = Phase::attempt;
     course_.began(now, patience, connect);
--- a/packages/errand/include/errand/slab.hpp
+++ b/packages/errand/include/errand/slab.hpp
@@ -17,7 +17,9 @@
  public:
   struct Handle {
     u32 ix = 0, turn = 0;
-    void* ptr() const { return reinterpret_cast<void*>(static_cast<std::uintptr_t>(static_cast<u64>(turn) << 32 | ix)); }
+    void* ptr() const {
+      return reinterpret_cast<void*>(static_cast<std::uintptr_t>(static_cast<u64>(turn) << 32 | ix));
+    }
     static Handle of(void* p) {
       u64 const v = reinterpret_cast<std::uintptr_t>(p);
       return {static_cast<u32>(v), static_cast<u32>(v >> 32)};
--- a/packages/errand/include/errand/table.hpp
+++ b/packages/errand/include/errand/table.hpp
@@ -74,7 +74,9 @@
   std::size_t size() const { return slab_.size(); }
   std::size_t asks() const { return asks_.size(); }
   template <class F>
-  void each(F f) const { slab_.each(f); }
+  void each(F f) const {
+    slab_.each(f);
+  }
   Fence& fence() { return fence_; }
 
  private:
--- a/packages/gossip/include/gossip/roll.hpp
+++ b/packages/gossip/include/gossip/roll.hpp
@@ -1,9 +1,9 @@
 // The roll of servers: soft state that nodes pass on and mend by digests. It is
 // rebuilt from the servers' own beats.
 #pragma once
-#include "stacks/record.hpp"
 #include <optional>
 #include <unordered_map>
+#include "stacks/record.hpp"
 
 #include "stacks/codec.hpp"
 
@@ -16,8 +16,8 @@
 // standing; `left` (a seq no beat reaches) is final.
 struct Row {
   DB_RECORD(Row, (std::string, id), (std::string, service), (std::string, address), (std::string, zone),
-                           (double, capacity), (Standing, state), (u64, seq), (double, cold_left), (std::string, owner),
-                           (std::string, generation));
+            (double, capacity), (Standing, state), (u64, seq), (double, cold_left), (std::string, owner),
+            (std::string, generation));
 };
 
 u64 constexpr left_seq = ~0ULL >> 1;
@@ -62,12 +62,11 @@
 
 // Wire messages of the agents and directories.
 struct Hello {
-  DB_RECORD(Hello, (u32, role), (std::string, ip), (std::string, zone), (std::string, region),
-                           (std::string, front), (u32, control), (Life, life), (std::string, node), (Ballot, accepted));
+  DB_RECORD(Hello, (u32, role), (std::string, ip), (std::string, zone), (std::string, region), (std::string, front),
+            (u32, control), (Life, life), (std::string, node), (Ballot, accepted));
 };
 struct HelloR {
-  DB_RECORD(HelloR, (std::vector<std::string>, mates), (Ballot, bal), (Life, life), (Ballot, accepted),
-            (double, wall));
+  DB_RECORD(HelloR, (std::vector<std::string>, mates), (Ballot, bal), (Life, life), (Ballot, accepted), (double, wall));
 };
 // What a proxy that is being drained says of itself; all zero otherwise, and so not sent.
 // Invariant: keyed and uploads count what is open, and keyed also what was answered so
@@ -83,14 +82,14 @@
 // Registration and keepalive. primary: this directory tells the others of the site. strays:
 // what its agent has dropped because no open question fits it.
 struct SiteBeat {
-  DB_RECORD(SiteBeat, (std::string, front), (std::string, zone), (std::string, region), (bool, ready),
-                           (double, load), (Ballot, bal), (bool, primary), (DrainWord, drain), (u64, strays));
+  DB_RECORD(SiteBeat, (std::string, front), (std::string, zone), (std::string, region), (bool, ready), (double, load),
+            (Ballot, bal), (bool, primary), (DrainWord, drain), (u64, strays));
 };
 // What a directory tells its mates of the sites it is the primary of. age: since the
 // site was last heard, so that a row ends when it would have ended there.
 struct SiteRow {
-  DB_RECORD(SiteRow, (std::string, front), (std::string, zone), (std::string, region), (bool, ready), (double, load), (double, age),
-            (bool, gone), (DrainWord, drain), (bool, current));
+  DB_RECORD(SiteRow, (std::string, front), (std::string, zone), (std::string, region), (bool, ready), (double, load),
+            (double, age), (bool, gone), (DrainWord, drain), (bool, current));
 };
 // For other regions: only what changed, and that all the others are as they were. relay: to be
 // passed on to the receiver's region; marks: of the fronts that origin is the primary of.
@@ -113,7 +112,7 @@
 };
 struct News {
   DB_RECORD(News, (std::string, state), (std::string, delta), (bool, rows_full), (std::vector<Row>, rows),
-                           (std::vector<ZoneCount>, sites));
+            (std::vector<ZoneCount>, sites));
 };
 struct Digest {
   DB_RECORD(Digest, (u64, digest), (Ballot, bal), (std::vector<std::string>, mates), (Life, life), (Ballot, accepted),
--- a/packages/gossip/roll.cpp
+++ b/packages/gossip/roll.cpp
@@ -71,7 +71,8 @@
 }
 
 void Roll::forgive(Secs now) {
-  for (auto& [id, e] : m_) e.beat = now;
+  for (auto& [id, e] : m_)
+    e.beat = now;
 }
 
 void Roll::purge(Secs older, Secs now) {
@@ -109,7 +110,8 @@
 
 std::vector<std::string> Roll::drop_absent(std::vector<Row> const& full, Secs older, Secs now) {
   std::unordered_set<std::string> have;
-  for (Row const& r : full) have.insert(r.id);
+  for (Row const& r : full)
+    have.insert(r.id);
   std::vector<std::string> out;
   for (auto& [id, e] : m_) {
     if (have.count(id) > 0 || e.row.state == Standing::gone || now - e.changed < older) continue;
--- a/packages/keys/filling.cpp
+++ b/packages/keys/filling.cpp
@@ -12,7 +12,8 @@
   return r;
 }
 
-Filling::Step Filling::hear(std::string const& ip, RebuildR const& r, std::optional<Life> named, Epoch epoch, std::size_t majority, Ledger& l, Secs now) {
+Filling::Step Filling::hear(std::string const& ip, RebuildR const& r, std::optional<Life> named, Epoch epoch,
+                            std::size_t majority, Ledger& l, Secs now) {
   Step s;
   // An answer to what we asked under an earlier roster may lack what was won since.
   if (l.whole() || !r.ok || named != r.life || r.epoch < epoch || !heard_.insert(ip).second) return s;
--- a/packages/keys/include/keys/ask.hpp
+++ b/packages/keys/include/keys/ask.hpp
@@ -17,7 +17,7 @@
 enum class Outcome : u8 { not_run = 1, returned = 2, lost = 3 };
 struct Told {
   DB_RECORD(Told, (std::string, key), (u64, holder), (Outcome, outcome), (std::vector<std::string>, homes),
-                           (std::string, ret));
+            (std::string, ret));
 };
 struct Load {
   DB_RECORD(Load, (bool, ready), (double, load), (bool, draining), (std::string, front), (DrainWord, drain));
--- a/packages/keys/include/keys/claims.hpp
+++ b/packages/keys/include/keys/claims.hpp
@@ -78,7 +78,8 @@
 template <ClaimPolicy P = Strict>
 class Claims {
  public:
-  Claims(std::string zone, std::string region, std::string node) : zone_(std::move(zone)), region_(std::move(region)), node_(std::move(node)) {}
+  Claims(std::string zone, std::string region, std::string node)
+      : zone_(std::move(zone)), region_(std::move(region)), node_(std::move(node)) {}
 
   // ---- disks ---------------------------------------------------------------------
   // `relayed`: the connection leads through another agent, of any region.
@@ -103,10 +104,13 @@
     std::vector<u32> over;
     for (auto& [tag, j] : jobs_) {
       if (j.asked.erase(ip) == 0) continue;
-      if (!j.fetching) j.widen_at = 0;
-      else if (j.asked.empty()) over.push_back(tag);
+      if (!j.fetching)
+        j.widen_at = 0;
+      else if (j.asked.empty())
+        over.push_back(tag);
     }
-    for (u32 const tag : over) no_answer(jobs_.find(tag));
+    for (u32 const tag : over)
+      no_answer(jobs_.find(tag));
   }
   void rtt(std::string const& ip, Secs s) { disks_[ip].rtt = s; }
   void roster(State const& s, Secs now) {
@@ -134,13 +138,15 @@
     jobs_.clear();
     // Where `run` was said it may be at work; who knows is the proxy, and it comes back.
     if (!P::may_release(true)) return;
-    for (auto const& [holder, h] : held_) release(h.key, holder, h.sent);
+    for (auto const& [holder, h] : held_)
+      release(h.key, holder, h.sent);
     held_.clear();
   }
   void ask(u64 asker, u32 tag, Ask const& a, Secs now) {
     if (asker != proxy_) return strays_.drop(Stray::connection);
     if (by_holder_.count(a.holder) > 0 || held_.count(a.holder) > 0) return strays_.drop(Stray::twice);
-    do ++next_;
+    do
+      ++next_;
     while (next_ == 0 || jobs_.count(next_) > 0);
     Job& j = jobs_[next_];
     j.key = a.key;
@@ -168,7 +174,8 @@
       sent = std::move(it->second.sent);
       held_.erase(it);
     } else {
-      for (Member const& m : members_) sent.insert(m.ip);
+      for (Member const& m : members_)
+        sent.insert(m.ip);
     }
     if (P::not_run(t.outcome)) return release(t.key, t.holder, sent);
     std::string ret = t.ret;
@@ -256,7 +263,8 @@
     // A connection that bore a release this long ago has brought it.
     for (auto it = owed_.begin(); it != owed_.end();) {
       std::deque<Owed>& l = it->second;
-      while (!l.empty() && disks_[it->first].connection != 0 && now - l.front().at > release_kept) l.pop_front();
+      while (!l.empty() && disks_[it->first].connection != 0 && now - l.front().at > release_kept)
+        l.pop_front();
       it = l.empty() ? owed_.erase(it) : std::next(it);
     }
     // A proxy that says no more of it may have ended; the disks keep the key.
@@ -332,7 +340,8 @@
     }
     std::sort(v.begin(), v.end());
     near_.clear();
-    for (auto& x : v) near_.push_back(std::move(x.second));
+    for (auto& x : v)
+      near_.push_back(std::move(x.second));
   }
 
   void answer(Job const& j, Leave leave, std::string ret = "") {
@@ -429,8 +438,8 @@
   Epoch epoch_;
   bool have_ = false;
   Jobs jobs_;
-  std::unordered_map<u64, u32> by_holder_;  // of jobs_
-  std::unordered_map<u64, Kept> held_;      // `run` was said, and no outcome told yet
+  std::unordered_map<u64, u32> by_holder_;        // of jobs_
+  std::unordered_map<u64, Kept> held_;            // `run` was said, and no outcome told yet
   std::map<std::string, std::deque<Owed>> owed_;  // oldest first
   std::vector<ClaimStep> out_;
   u64 proxy_ = 0;
--- a/packages/keys/include/keys/filling.hpp
+++ b/packages/keys/include/keys/filling.hpp
@@ -26,7 +26,8 @@
     bool enough = false;       // once they are, the keys are whole: done(), fit()
   };
   // named: the life that the roster gives that address; epoch, majority: of that roster.
-  Step hear(std::string const& ip, RebuildR const& r, std::optional<Life> named, Epoch epoch, std::size_t majority, Ledger& l, Secs now);
+  Step hear(std::string const& ip, RebuildR const& r, std::optional<Life> named, Epoch epoch, std::size_t majority,
+            Ledger& l, Secs now);
   void reset() { heard_.clear(); }
 
   // A membership is told by the epoch that began it, plus one; 0: none.
--- a/packages/keys/include/keys/ledger.hpp
+++ b/packages/keys/include/keys/ledger.hpp
@@ -1,9 +1,9 @@
 // One disk's part of the keys: who holds a key. First come, and only one.
 #pragma once
-#include "stacks/record.hpp"
 #include <deque>
 #include <unordered_map>
 #include <unordered_set>
+#include "stacks/record.hpp"
 
 #include "stacks/codec.hpp"
 
@@ -24,8 +24,7 @@
 // A first answer, kept in the key's home regions only.
 struct Return {
   DB_RECORD(Return, (std::string, key), (u64, holder), (u32, code), (std::string, reason),
-                           (std::vector<std::string>, heads), (std::string, body), (bool, lost),
-            (std::vector<std::string>, homes));
+            (std::vector<std::string>, heads), (std::string, body), (bool, lost), (std::vector<std::string>, homes));
 };
 struct Fetch {
   DB_RECORD(Fetch, (std::string, key));
--- a/packages/keys/ledger.cpp
+++ b/packages/keys/ledger.cpp
@@ -109,11 +109,8 @@
       at_work_ = at_work_ || r.at_work;
       add(no_);
       break;
-    case Say::epoch:
-      stale_ = true;
-      break;
-    case Say::unready:
-      break;
+    case Say::epoch: stale_ = true; break;
+    case Say::unready: break;
   }
   if (yes_.size() >= maj) return End::granted;
   if (no_.size() > n_ - maj) return End::held;
--- a/packages/manifest/include/manifest/json.hpp
+++ b/packages/manifest/include/manifest/json.hpp
@@ -17,7 +17,8 @@
 
 struct Fault : std::runtime_error {
   std::string field;
-  Fault(std::string f, std::string const& why) : std::runtime_error((f.empty() ? std::string("body") : f) + ": " + why), field(f) {}
+  Fault(std::string f, std::string const& why)
+      : std::runtime_error((f.empty() ? std::string("body") : f) + ": " + why), field(f) {}
 };
 
 Gen parse_gen(std::string const& s, std::string const& at);
@@ -93,7 +94,8 @@
 void write(W& w, T const& x) {
   if constexpr (codec::IsVec<T>::value) {
     w.StartArray();
-    for (auto const& e : x) write(w, e);
+    for (auto const& e : x)
+      write(w, e);
     w.EndArray();
   } else if constexpr (codec::Record<T>) {
     w.StartObject();
--- a/packages/manifest/include/manifest/manifest.hpp
+++ b/packages/manifest/include/manifest/manifest.hpp
@@ -118,7 +118,7 @@
   Index<LaneP> odd_;                        // host; longest prefix first
   Index<TenantP> by_key_;
   std::map<std::string, PoolDef> pools_;
-  std::map<u32, std::size_t> ranks_;        // rank -> lanes of it
+  std::map<u32, std::size_t> ranks_;  // rank -> lanes of it
   LimitsDef limits_;
 };
 
--- a/packages/manifest/include/manifest/schema.hpp
+++ b/packages/manifest/include/manifest/schema.hpp
@@ -1,10 +1,10 @@
 // The operator's configuration as structs. Member names are the wire's names;
 // reading and checking walk the structs by Hana, so a field is declared once.
 #pragma once
-#include "stacks/record.hpp"
 #include <optional>
 #include <string>
 #include <vector>
+#include "stacks/record.hpp"
 
 #include "stacks/types.hpp"
 
@@ -21,21 +21,21 @@
 // Invariant after check: exactly one of service and split; deadlineS > 0.
 struct Actuation {
   DB_RECORD(Actuation, (std::optional<std::string>, service), (std::optional<std::vector<Share>>, split),
-                           (double, deadlineS), (std::optional<u32>, maxTries),
-                           (std::optional<std::vector<std::string>>, homeRegions));
+            (double, deadlineS), (std::optional<u32>, maxTries),
+            (std::optional<std::vector<std::string>>, homeRegions));
 };
 struct Policy {
   DB_RECORD(Policy, (std::string, name), (LaneKind, kind), (std::optional<double>, setpointS),
-                           (std::optional<u32>, rank), (std::optional<bool>, keyless), (Gen, generation), (Selector, selector),
-                           (Actuation, actuation));
+            (std::optional<u32>, rank), (std::optional<bool>, keyless), (Gen, generation), (Selector, selector),
+            (Actuation, actuation));
 };
 struct Socket {
   DB_RECORD(Socket, (std::string, host), (std::vector<Policy>, policy));
 };
 struct Pool {
-  DB_RECORD(Pool, (std::string, name), (std::optional<std::string>, healthPath),
-                           (std::optional<u32>, connLimit), (std::optional<bool>, selfDedupes),
-                           (std::optional<double>, coldS), (std::optional<double>, coldRateS), (Gen, generation));
+  DB_RECORD(Pool, (std::string, name), (std::optional<std::string>, healthPath), (std::optional<u32>, connLimit),
+            (std::optional<bool>, selfDedupes), (std::optional<double>, coldS), (std::optional<double>, coldRateS),
+            (Gen, generation));
 };
 // A partner's budget of errands, drawn from by all proxies together. Invariant
 // after check: rate > 0, burst >= 1, 0 <= reserve < 1.
@@ -45,23 +45,23 @@
 // Invariant after check: no two customers of one call hold one key.
 struct Customer {
   DB_RECORD(Customer, (std::string, name), (std::optional<std::vector<std::string>>, keys), (std::optional<u32>, rank),
-            (std::optional<std::vector<std::string>>, homeRegions), (std::optional<Allowance>, allowance), (Gen, generation));
+            (std::optional<std::vector<std::string>>, homeRegions), (std::optional<Allowance>, allowance),
+            (Gen, generation));
 };
 struct Limits {
   DB_RECORD(Limits, (std::optional<u64>, headerBytes), (std::optional<u64>, bodyBytes),
-                           (std::optional<double>, headerDeadlineS), (std::optional<double>, idleTimeoutS),
-                           (Gen, generation));
+            (std::optional<double>, headerDeadlineS), (std::optional<double>, idleTimeoutS), (Gen, generation));
 };
 struct Upsert {
   DB_RECORD(Upsert, (std::optional<Limits>, limits), (std::optional<std::vector<Socket>>, sockets),
-                           (std::optional<std::vector<Pool>>, pools), (std::optional<std::vector<Customer>>, customers));
+            (std::optional<std::vector<Pool>>, pools), (std::optional<std::vector<Customer>>, customers));
 };
 struct Drop {
   DB_RECORD(Drop, (std::string, name), (Gen, generation));
 };
 struct Remove {
   DB_RECORD(Remove, (std::optional<std::vector<Drop>>, routes), (std::optional<std::vector<Drop>>, pools),
-                           (std::optional<std::vector<Drop>>, services), (std::optional<std::vector<Drop>>, customers));
+            (std::optional<std::vector<Drop>>, services), (std::optional<std::vector<Drop>>, customers));
 };
 struct Amend {
   DB_RECORD(Amend, (std::optional<Upsert>, upsert), (std::optional<Remove>, remove));
@@ -70,8 +70,8 @@
 // Servers' calls.
 struct Heartbeat {
   DB_RECORD(Heartbeat, (std::string, service), (std::string, address), (std::string, zone),
-                           (std::optional<std::string>, generation), (double, capacity), (std::string, state),
-                           (std::optional<double>, coldLeftS), (u64, callSeq));
+            (std::optional<std::string>, generation), (double, capacity), (std::string, state),
+            (std::optional<double>, coldLeftS), (u64, callSeq));
 };
 struct HeartbeatRet {
   DB_RECORD(HeartbeatRet, (std::optional<std::string>, beatTarget));
--- a/packages/manifest/manifest.cpp
+++ b/packages/manifest/manifest.cpp
@@ -61,8 +61,10 @@
     char const c = text[i];
     if (c == '\0') throw Fault("", "can't be read whole");
     if (quoted) {
-      if (c == '\\') ++i;
-      else quoted = c != '"';
+      if (c == '\\')
+        ++i;
+      else
+        quoted = c != '"';
     } else if (c == '"') {
       quoted = true;
     } else if (c == '{' || c == '[') {
@@ -143,8 +145,10 @@
     }
     // The highest version of a name holds, within one call too.
     Item& o = items_[i->second];
-    if (it.gen > o.gen) o = std::move(it);
-    else if (it.gen == o.gen && !same_item(it, o)) throw Fault(at, "two bodies under one generation");
+    if (it.gen > o.gen)
+      o = std::move(it);
+    else if (it.gen == o.gen && !same_item(it, o))
+      throw Fault(at, "two bodies under one generation");
   }
   std::vector<Item> take() { return std::move(items_); }
 
@@ -154,7 +158,8 @@
 };
 
 void check_limits(schema::Limits const& l) {
-  for (auto const& [x, at] : {std::pair{&l.headerDeadlineS, "upsert.limits.headerDeadlineS"}, {&l.idleTimeoutS, "upsert.limits.idleTimeoutS"}}) {
+  for (auto const& [x, at] : {std::pair{&l.headerDeadlineS, "upsert.limits.headerDeadlineS"},
+                              {&l.idleTimeoutS, "upsert.limits.idleTimeoutS"}}) {
     check_most(*x, at);
     if (*x && !(**x > 0)) throw Fault(at, "wants more than 0");
   }
@@ -173,7 +178,8 @@
   Value const* n = member((*l)[static_cast<rapidjson::SizeType>(i)], "name");
   if (n == nullptr || !n->IsString()) return f;
   std::string const what = f.what();
-  return Fault("customer '" + std::string(n->GetString()) + "': " + f.field, what.substr(std::min(what.size(), f.field.size() + 2)));
+  return Fault("customer '" + std::string(n->GetString()) + "': " + f.field,
+               what.substr(std::min(what.size(), f.field.size() + 2)));
 }
 
 void check_customer(schema::Customer const& c, std::string const& at) {
@@ -200,7 +206,8 @@
   if (am.upsert) {
     Value const& up = *member(d, "upsert");
     if (am.upsert->limits) check_limits(*am.upsert->limits);
-    if (am.upsert->limits) got.add(Item{"l/", am.upsert->limits->generation, false, json::dump(*member(up, "limits"))}, "upsert.limits");
+    if (am.upsert->limits)
+      got.add(Item{"l/", am.upsert->limits->generation, false, json::dump(*member(up, "limits"))}, "upsert.limits");
     if (am.upsert->sockets) {
       Value const& socks = *member(up, "sockets");
       for (u32 i = 0; i < am.upsert->sockets->size(); ++i) {
@@ -212,11 +219,14 @@
           auto const& p = s.policy[j];
           std::string const at = sat + ".policy[" + std::to_string(j) + "]";
           check_policy(p, at);
-          if (p.actuation.service) out.needs.push_back({at + ".actuation.service", *p.actuation.service, "r/" + p.name});
+          if (p.actuation.service)
+            out.needs.push_back({at + ".actuation.service", *p.actuation.service, "r/" + p.name});
           if (p.actuation.split)
-            for (auto const& sh : *p.actuation.split) out.needs.push_back({at + ".actuation.split", sh.service, "r/" + p.name});
+            for (auto const& sh : *p.actuation.split)
+              out.needs.push_back({at + ".actuation.split", sh.service, "r/" + p.name});
           // The body keeps the policy as it was sent, beside its host.
-          std::string const b = "{\"host\":" + json::dump(*member(socks[i], "host")) + ",\"policy\":" + json::dump(pols[j]) + "}";
+          std::string const b =
+              "{\"host\":" + json::dump(*member(socks[i], "host")) + ",\"policy\":" + json::dump(pols[j]) + "}";
           got.add(Item{"r/" + p.name, p.generation, false, b}, at + ".name");
         }
       }
@@ -242,14 +252,16 @@
       check_customer(c, at);
       if (c.keys)
         for (auto const& k : *c.keys)
-          if (auto const [h, fresh] = holder.try_emplace(k, c.name); !fresh && h->second != c.name) throw Fault(at + ".keys", "a key that '" + h->second + "' holds too");
+          if (auto const [h, fresh] = holder.try_emplace(k, c.name); !fresh && h->second != c.name)
+            throw Fault(at + ".keys", "a key that '" + h->second + "' holds too");
       got.add(Item{"c/" + c.name, c.generation, false, json::dump(cs[i])}, at + ".name");
     }
   }
   if (am.remove) {
     auto drop = [&](std::optional<std::vector<schema::Drop>> const& l, std::string const& pre, std::string const& at) {
       if (!l) return;
-      for (auto const& x : *l) got.add(Item{pre + x.name, x.generation, true, ""}, at);
+      for (auto const& x : *l)
+        got.add(Item{pre + x.name, x.generation, true, ""}, at);
     };
     drop(am.remove->routes, "r/", "remove.routes");
     drop(am.remove->pools, "s/", "remove.pools");
@@ -314,13 +326,15 @@
     }
   }
   if (put.empty()) return Joined::same;
-  for (auto const& [k, p] : put) items[p->key] = *p;
+  for (auto const& [k, p] : put)
+    items[p->key] = *p;
   return Joined::changed;
 }
 
 bool brings_news(std::vector<Item> const& items, Amendment const& a) {
   std::unordered_map<std::string_view, Gen> put;
-  for (Item const& i : a.items) put.emplace(i.key, i.gen);
+  for (Item const& i : a.items)
+    put.emplace(i.key, i.gen);
   std::size_t old = 0;
   for (Item const& i : items)
     if (auto const it = put.find(i.key); it != put.end() && it->second <= i.gen) ++old;
@@ -360,7 +374,8 @@
 
 Compiled Compiled::from(std::vector<Item> const& items) {
   Compiled c;
-  for (Item const& it : items) c.put(it);
+  for (Item const& it : items)
+    c.put(it);
   return c;
 }
 
@@ -375,7 +390,8 @@
   l->prefix = p.selector.pathPrefix;
   l->kind = p.kind;
   if (p.actuation.split && !p.actuation.split->empty()) {
-    for (auto const& s : *p.actuation.split) l->to.emplace_back(s.service, s.gain);
+    for (auto const& s : *p.actuation.split)
+      l->to.emplace_back(s.service, s.gain);
   } else {
     l->to.emplace_back(p.actuation.service.value_or(""), 1.0);
   }
@@ -432,14 +448,17 @@
 void Compiled::drop(std::string const& key) {
   if (auto const it = lanes_.find(key); it != lanes_.end()) {
     LaneP const l = it->second;
-    if (l->prefix.back() == '/') unplace(exact_, l->host + l->prefix, l);
-    else unplace(odd_, l->host, l);
+    if (l->prefix.back() == '/')
+      unplace(exact_, l->host + l->prefix, l);
+    else
+      unplace(odd_, l->host, l);
     if (--ranks_[l->rank] == 0) ranks_.erase(l->rank);
     lanes_.erase(it);
   }
   if (auto const it = tenants_.find(key); it != tenants_.end()) {
     TenantP const t = it->second;
-    for (std::string const& k : t->keys) unplace(by_key_, k, t);
+    for (std::string const& k : t->keys)
+      unplace(by_key_, k, t);
     tenants_.erase(it);
   }
   if (key[0] == 's') pools_.erase(key.substr(2));
@@ -471,7 +490,8 @@
       }
       case 'c': {
         TenantP const t = tenant_from(v);
-        for (std::string const& k : t->keys) place(by_key_[k], t);
+        for (std::string const& k : t->keys)
+          place(by_key_[k], t);
         tenants_[it.key] = t;
         break;
       }
@@ -482,7 +502,8 @@
         } else {
           auto& o = odd_[l->host];
           place(o, l);
-          std::stable_sort(o.begin(), o.end(), [](LaneP const& a, LaneP const& b) { return a->prefix.size() > b->prefix.size(); });
+          std::stable_sort(o.begin(), o.end(),
+                           [](LaneP const& a, LaneP const& b) { return a->prefix.size() > b->prefix.size(); });
         }
         ++ranks_[l->rank];
         lanes_[it.key] = l;
@@ -513,7 +534,9 @@
   return best;
 }
 
-u32 Compiled::lowest_rank() const { return ranks_.empty() ? 0 : ranks_.rbegin()->first; }
+u32 Compiled::lowest_rank() const {
+  return ranks_.empty() ? 0 : ranks_.rbegin()->first;
+}
 
 TenantP Compiled::tenant_of(std::string_view key) const {
   auto const it = by_key_.find(key);
@@ -525,7 +548,8 @@
 }
 std::vector<TenantP> Compiled::tenants() const {
   std::vector<TenantP> v;
-  for (auto const& [k, t] : tenants_) v.push_back(t);
+  for (auto const& [k, t] : tenants_)
+    v.push_back(t);
   return v;
 }
 
--- a/packages/patron/include/patron/tally.hpp
+++ b/packages/patron/include/patron/tally.hpp
@@ -68,9 +68,9 @@
 };
 
 struct Tally {
-  Times times;              // of the successes
-  u64 due = 0, late = 0;    // late: sent over 10 ms after it was due
-  std::map<int, u64> codes; // 0: no answer
+  Times times;               // of the successes
+  u64 due = 0, late = 0;     // late: sent over 10 ms after it was due
+  std::map<int, u64> codes;  // 0: no answer
   void add(Secs due_at, Secs sent_at, Secs done_at, int code);
 };
 
--- a/packages/patron/tally.cpp
+++ b/packages/patron/tally.cpp
@@ -17,7 +17,8 @@
     else
       p.back() += c;
   }
-  if (p.size() < 4 || p.size() > 7) throw BadLoad("--kind: wants NAME:METHOD:PATH:RATE[:BODYBYTES[:keyed[:TOKEN]]], not '" + s + "'");
+  if (p.size() < 4 || p.size() > 7)
+    throw BadLoad("--kind: wants NAME:METHOD:PATH:RATE[:BODYBYTES[:keyed[:TOKEN]]], not '" + s + "'");
   LoadKind k;
   k.name = p[0];
   k.method = p[1];
@@ -25,11 +26,13 @@
   auto number = [&](std::string const& v, char const* what) {
     char* end = nullptr;
     double const d = std::strtod(v.c_str(), &end);
-    if (v.empty() || *end != '\0' || !(d >= 0) || d > 1e6) throw BadLoad(std::string("--kind: ") + what + ": not a fitting number: '" + v + "'");
+    if (v.empty() || *end != '\0' || !(d >= 0) || d > 1e6)
+      throw BadLoad(std::string("--kind: ") + what + ": not a fitting number: '" + v + "'");
     return d;
   };
   if (k.name.empty()) throw BadLoad("--kind: NAME: empty");
-  if (k.method != "GET" && k.method != "POST" && k.method != "PUT") throw BadLoad("--kind: METHOD: GET, POST or PUT, not '" + k.method + "'");
+  if (k.method != "GET" && k.method != "POST" && k.method != "PUT")
+    throw BadLoad("--kind: METHOD: GET, POST or PUT, not '" + k.method + "'");
   if (k.path.empty() || k.path[0] != '/') throw BadLoad("--kind: PATH: wants a slash at its start");
   k.rate = number(p[3], "RATE");
   if (k.rate <= 0) throw BadLoad("--kind: RATE: wants more than 0");
--- a/packages/provenance/include/provenance/provenance.hpp
+++ b/packages/provenance/include/provenance/provenance.hpp
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <limits>
 #include <map>
-#include <utility>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 namespace dockbend::provenance {
@@ -86,7 +86,8 @@
   bool go(typename M::State const& st, std::size_t n_known, std::size_t low, Moment latest, Last const& before) {
     if (n_known == known) return true;
     if (++rep.steps > most) return false;
-    while (low < order.size() && placed[order[low]]) ++low;
+    while (low < order.size() && placed[order[low]])
+      ++low;
     std::string const here = M::key(st);
     // What lies before `low` is placed, what lies far behind is not: only the window differs.
     std::string k = here + '\0' + std::to_string(low) + ' ';
@@ -112,7 +113,8 @@
       ++ahead;
       if (M::lost(st, h[order[i]].op)) return false;
     }
-    for (std::size_t i = low; i < order.size() && h[order[i]].from <= end; ++i) may.push_back(order[i]);
+    for (std::size_t i = low; i < order.size() && h[order[i]].from <= end; ++i)
+      may.push_back(order[i]);
     std::stable_sort(may.begin(), may.end(), [&](std::size_t a, std::size_t b) { return h[a].to < h[b].to; });
     for (bool const known_now : {true, false})
       for (std::size_t const x : may) {
@@ -161,7 +163,9 @@
   }
   std::stable_sort(s.order.begin(), s.order.end(), [&](std::size_t a, std::size_t b) { return h[a].from < h[b].from; });
   s.twin.assign(h.size(), detail::Search<M>::none);
-  if constexpr (requires(typename M::Op const& o) { { M::asks(o) } -> std::convertible_to<std::string>; }) {
+  if constexpr (requires(typename M::Op const& o) {
+                  { M::asks(o) } -> std::convertible_to<std::string>;
+                }) {
     std::map<std::pair<std::string, Moment>, std::size_t> last;
     for (std::size_t const i : s.order) {
       if (h[i].known) continue;
--- a/packages/register/include/register/acceptor.hpp
+++ b/packages/register/include/register/acceptor.hpp
@@ -17,8 +17,8 @@
   }
 
   struct Step {
-    bool write = false;           // persist head() and `rows` before replying
-    std::vector<ValueRow> rows;   // by which state() differs from what it was
+    bool write = false;          // persist head() and `rows` before replying
+    std::vector<ValueRow> rows;  // by which state() differs from what it was
     operator bool() const { return write; }
   };
   Step prepare(Prep const& p, PrepR& r);
--- a/packages/register/include/register/patience.hpp
+++ b/packages/register/include/register/patience.hpp
@@ -24,8 +24,10 @@
     if (w.at < 0) return;
     Secs const took = now - w.at;
     // Short letters say what an answer takes, its sync included; long ones what the link carries.
-    if (w.bytes < bulk) w.answer += 0.2 * (took - w.answer);
-    else w.rate += 0.5 * (static_cast<double>(w.bytes) / std::max(took - w.answer, 0.001) - w.rate);
+    if (w.bytes < bulk)
+      w.answer += 0.2 * (took - w.answer);
+    else
+      w.rate += 0.5 * (static_cast<double>(w.bytes) / std::max(took - w.answer, 0.001) - w.rate);
     w.at = -1;
     w.bytes = 0;
   }
--- a/packages/register/include/register/pieces.hpp
+++ b/packages/register/include/register/pieces.hpp
@@ -11,11 +11,13 @@
 // `after` up to `upto`, and besides those up to `after` that changed since the value of `base`.
 // base 0: nothing that came before counts, and after is empty.
 struct Piece {
-  DB_RECORD(Piece, (Ballot, base), (std::string, after), (std::string, upto), (bool, last), (u64, sum), (u64, count), (State, part));
+  DB_RECORD(Piece, (Ballot, base), (std::string, after), (std::string, upto), (bool, last), (u64, sum), (u64, count),
+            (State, part));
 };
 
 // What comes next for who has the items up to `after` of the value of `have`.
-Piece piece_of(State const& s, RowSum sum, Ballot have, std::string const& after, std::function<std::optional<Delta>(Ballot)> const& since, std::size_t most);
+Piece piece_of(State const& s, RowSum sum, Ballot have, std::string const& after,
+               std::function<std::optional<Delta>(Ballot)> const& since, std::size_t most);
 
 // Who gathers them. Invariant: items_ are those up to after_ of the value of have_.
 class Gather {
--- a/packages/register/include/register/proposer.hpp
+++ b/packages/register/include/register/proposer.hpp
@@ -42,7 +42,7 @@
   bool won() const { return won_; }
   // False: the round only brought another's step of the roster to its end.
   bool changed() const { return settled(); }
-  State const& value() const { return next_; }   // valid once won
+  State const& value() const { return next_; }  // valid once won
   State const& base() const { return best_; }
   std::string const& delta() const { return delta_; }  // empty: founding value, no base
   Secs since() const { return since_; }
@@ -73,10 +73,10 @@
   std::optional<State> first_;  // what the members were told that we have, once best_ is newer
   Leads leads_;
   Change change_;
-  std::string delta_;  // from best_ to next_, packed once for all
-  std::set<std::string> asked_;       // "ip/life" asked for a promise
-  std::set<std::string> promised_;    // "ip/life" that promised bal_
-  std::set<std::string> accepted_;    // "ip/life" that accepted bal_
+  std::string delta_;               // from best_ to next_, packed once for all
+  std::set<std::string> asked_;     // "ip/life" asked for a promise
+  std::set<std::string> promised_;  // "ip/life" that promised bal_
+  std::set<std::string> accepted_;  // "ip/life" that accepted bal_
 };
 
 }  // namespace dockbend
