--- a/tests/day.hpp
+++ b/tests/day.hpp
@@ -24,12 +24,12 @@
 
 struct DayPlan {
   int nodes = 5, callers = 8, orders = 160;
-  double lose = 0.05;         // of messages between nodes
-  double lose_answer = 0.3;   // of answers to callers
+  double lose = 0.05;        // of messages between nodes
+  double lose_answer = 0.3;  // of answers to callers
   bool staged = true;
-  int calm = 0;               // steps between two troubles; 0: none
-  bool members = false;       // they leave and come back
-  bool long_cut = false;      // one node is cut off for half of the day, and is still called
+  int calm = 0;           // steps between two troubles; 0: none
+  bool members = false;   // they leave and come back
+  bool long_cut = false;  // one node is cut off for half of the day, and is still called
 };
 
 template <class H = Handling>
@@ -39,8 +39,10 @@
   using Call = provenance::Recorded<Op>;
 
   Day(unsigned seed, DayPlan p) : net(seed, p.nodes), p_(p), rnd(seed * 7919 + 1) {
-    for (auto& [ip, n] : net.nodes) desks_[ip];
-    for (int i = 0; i < p.callers; ++i) callers_.emplace_back();
+    for (auto& [ip, n] : net.nodes)
+      desks_[ip];
+    for (int i = 0; i < p.callers; ++i)
+      callers_.emplace_back();
     net.over = [this](Node& n) { round_over(n); };
   }
 
@@ -48,9 +50,12 @@
     while (asked_ < p_.orders || busy()) {
       ++now;
       troubles();
-      for (auto& [ip, d] : desks_) tend(ip, d);
-      for (std::size_t i = 0; i < callers_.size(); ++i) ask(i);
-      for (int k = 0; k < 3; ++k) net.step(p_.lose);
+      for (auto& [ip, d] : desks_)
+        tend(ip, d);
+      for (std::size_t i = 0; i < callers_.size(); ++i)
+        ask(i);
+      for (int k = 0; k < 3; ++k)
+        net.step(p_.lose);
       cr_assert_lt(now, 400000u, "the day does not end");
     }
     // All is well again: what stands is read on a majority.
@@ -67,7 +72,8 @@
         tend(ip, d);
       }
       ask(0);
-      for (int k = 0; k < 3; ++k) net.step();
+      for (int k = 0; k < 3; ++k)
+        net.step();
     }
     return history;
   }
@@ -124,25 +130,31 @@
     if (p_.long_cut && now % 4000 == 500) isolate(Net::name(0));
     if (p_.long_cut && now % 4000 == 2500) net.cut.clear();
     if (p_.members && now % 120 == 0) {
-      std::string const by = Net::name(static_cast<int>(draw(net.nodes.size()))), who = Net::name(static_cast<int>(draw(net.nodes.size())));
+      std::string const by = Net::name(static_cast<int>(draw(net.nodes.size()))),
+                        who = Net::name(static_cast<int>(draw(net.nodes.size())));
       Life const life = net.nodes.at(who).acc->life();
       if (net.nodes.at(by).up)
-        submit(by, [this, who, life](State& s) {
-          for (Member& m : s.roster) m.whole = true;
-          Member m = member(who, life);
-          m.whole = true;
-          bool const in = s.member(who) != nullptr;
-          bool const stepped = in ? s.dismiss(who, life) : s.admit(m);
-          steps += stepped ? 1 : 0;
-          return stepped;
-        }, [](State const*) {});
+        submit(
+            by,
+            [this, who, life](State& s) {
+              for (Member& m : s.roster)
+                m.whole = true;
+              Member m = member(who, life);
+              m.whole = true;
+              bool const in = s.member(who) != nullptr;
+              bool const stepped = in ? s.dismiss(who, life) : s.admit(m);
+              steps += stepped ? 1 : 0;
+              return stepped;
+            },
+            [](State const*) {});
     }
     if (p_.calm == 0 || now % static_cast<u64>(p_.calm) != 0) return;
     switch (draw(5)) {
       case 0:
       case 1: die(Net::name(static_cast<int>(draw(net.nodes.size()))), 20 + draw(300)); break;
       case 2:
-        for (auto& [ip, n] : net.nodes) die(ip, 30 + draw(60));
+        for (auto& [ip, n] : net.nodes)
+          die(ip, 30 + draw(60));
         break;
       case 3: {
         std::string const a = Net::name(static_cast<int>(draw(net.nodes.size())));
@@ -183,12 +195,14 @@
     d.since = now;
     net.propose(ip, [this, ip](State& s) {
       bool any = false;
-      for (Waiting& w : desks_.at(ip).batch) any = w.change(s) || any;
+      for (Waiting& w : desks_.at(ip).batch)
+        any = w.change(s) || any;
       return any;
     });
   }
   void back(Desk& d) {
-    for (auto it = d.batch.rbegin(); it != d.batch.rend(); ++it) d.calls.push_front(std::move(*it));
+    for (auto it = d.batch.rbegin(); it != d.batch.rend(); ++it)
+      d.calls.push_front(std::move(*it));
     d.batch.clear();
   }
   void round_over(Node& n) {
@@ -203,7 +217,8 @@
     std::vector<Waiting> b;
     b.swap(d.batch);
     State const v = n.prop->value();
-    for (Waiting& w : b) w.done(&v);
+    for (Waiting& w : b)
+      w.done(&v);
   }
   void tend(std::string const& ip, Desk& d) {
     Node& n = net.nodes.at(ip);
@@ -217,9 +232,12 @@
       back(d);
     }
     // What is in force is asked for now and then, and what was left open is ended.
-    if (draw(60) == 0 && n.committed) net.bag.push_back(Msg{ip, Net::name(static_cast<int>(draw(net.nodes.size()))), 4, codec::pack(*n.committed)});
-    if (draw(150) == 0 && n.acc->state() && n.prop->idle() && d.calls.empty() && (!n.committed || n.acc->state()->bal > n.committed->bal))
-      submit(ip, [](State&) { return false; }, [](State const*) {});
+    if (draw(60) == 0 && n.committed)
+      net.bag.push_back(Msg{ip, Net::name(static_cast<int>(draw(net.nodes.size()))), 4, codec::pack(*n.committed)});
+    if (draw(150) == 0 && n.acc->state() && n.prop->idle() && d.calls.empty() &&
+        (!n.committed || n.acc->state()->bal > n.committed->bal))
+      submit(
+          ip, [](State&) { return false; }, [](State const*) {});
     pump(ip);
     lead(ip, d);
   }
@@ -272,10 +290,12 @@
       done(Outcome{Ruling::taken, true, "", 0});
       done = [](Outcome const&) {};
     }
-    carry([this, ip](auto c, auto f, Secs) { submit(ip, std::move(c), std::move(f)); }, By<Make, O>{std::move(make), std::move(o)}, 0, std::move(done));
+    carry([this, ip](auto c, auto f, Secs) { submit(ip, std::move(c), std::move(f)); },
+          By<Make, O>{std::move(make), std::move(o)}, 0, std::move(done));
   }
   void order(std::string const& ip, Amend const& o, std::function<void(Outcome const&)> done) {
-    order(ip, [a = o.asked()](State const* known) { return Amend(a, known); }, o, std::move(done));
+    order(
+        ip, [a = o.asked()](State const* known) { return Amend(a, known); }, o, std::move(done));
   }
 
   void received(std::string const& ip, Op const& op, std::function<void(Outcome const&, Control::State const&)> done) {
@@ -285,15 +305,23 @@
     switch (op.what) {
       case Control::What::read:
         if (H::reads_own) {
-          if (n.committed) done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*n.committed));
-          else done(unsettled(""), {});
+          if (n.committed)
+            done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*n.committed));
+          else
+            done(unsettled(""), {});
           return;
         }
-        return submit(ip, [](State&) { return false; }, [done](State const* s) {
-          if (s == nullptr) done(unsettled(""), {});
-          else done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*s));
-        });
-      case Control::What::evacuate: return order(ip, [op](State const* k) { return Evacuate(op.zone, op.on, k); }, plain);
+        return submit(
+            ip, [](State&) { return false; },
+            [done](State const* s) {
+              if (s == nullptr)
+                done(unsettled(""), {});
+              else
+                done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*s));
+            });
+      case Control::What::evacuate:
+        return order(
+            ip, [op](State const* k) { return Evacuate(op.zone, op.on, k); }, plain);
       case Control::What::start: {
         Order o;
         o.id = std::to_string(op.pass);
@@ -301,7 +329,8 @@
         OrderUnit u;
         u.name = o.id + op.body;
         o.units.push_back(u);
-        return order(ip, [o](State const* k) { return StartPass(o, k); }, plain);
+        return order(
+            ip, [o](State const* k) { return StartPass(o, k); }, plain);
       }
       case Control::What::amend: {
         Amendment a;
@@ -348,7 +377,9 @@
       default: break;
     }
     o.what = Control::What::amend;
-    auto const body = [&](u64 gen) { return draw(12) == 0 ? std::string() : "\"" + std::to_string(gen) + (draw(3) == 0 ? "x" : "y") + "\""; };
+    auto const body = [&](u64 gen) {
+      return draw(12) == 0 ? std::string() : "\"" + std::to_string(gen) + (draw(3) == 0 ? "x" : "y") + "\"";
+    };
     std::size_t const n = 1 + draw(3);
     std::set<std::string> keys;
     for (std::size_t i = 0; i < n; ++i) {
@@ -356,7 +387,8 @@
       std::string const key = service ? "s/" + std::to_string(draw(2)) : "r/" + std::to_string(draw(3));
       if (!keys.insert(key).second) continue;
       // Uneven steps, at times two on one version, at times an older one.
-      u64 const gen = 1 + static_cast<u64>(asked_) / 4 * 3 + draw(4) - std::min<u64>(static_cast<u64>(asked_) / 4 * 3, draw(9) == 0 ? 9 : 0);
+      u64 const gen = 1 + static_cast<u64>(asked_) / 4 * 3 + draw(4) -
+                      std::min<u64>(static_cast<u64>(asked_) / 4 * 3, draw(9) == 0 ? 9 : 0);
       Control::Want w{key, {gen, body(gen)}, ""};
       if (!service && !w.item.body.empty() && draw(2) == 0) w.service = std::to_string(draw(2));
       o.wants.push_back(w);
@@ -419,7 +451,8 @@
     c.op.seen = seen;
     if (c.op.what == Control::What::evacuate) {
       // Earlier ones of the same caller may have had their effect, but no more from now on.
-      for (std::size_t const a : c.attempts) history[a].to = now;
+      for (std::size_t const a : c.attempts)
+        history[a].to = now;
       history[c.attempts.back()].known = true;
       history[c.attempts.back()].op = c.op;
     } else {
--- a/tests/disk_test.cpp
+++ b/tests/disk_test.cpp
@@ -27,21 +27,28 @@
   auto n = [&](unsigned k) { return r() % k; };
   switch (n(9)) {
     case 0:
-    case 1: put_item("r/h/" + std::to_string(n(40)), 1 + r() % 1000, std::string(n(300), static_cast<char>('a' + n(26))))(s); break;
+    case 1:
+      put_item("r/h/" + std::to_string(n(40)), 1 + r() % 1000, std::string(n(300), static_cast<char>('a' + n(26))))(s);
+      break;
     case 2: {
       std::string const z = "z" + std::to_string(n(3));
       auto const it = std::find_if(s.evacs.begin(), s.evacs.end(), [&](Evac const& e) { return e.zone == z; });
-      if (it == s.evacs.end()) s.evacs.push_back(Evac{z, 1, true});
-      else *it = Evac{z, it->counter + 1, !it->on};
+      if (it == s.evacs.end())
+        s.evacs.push_back(Evac{z, 1, true});
+      else
+        *it = Evac{z, it->counter + 1, !it->on};
       break;
     }
     case 3: join_member("10.0.0." + std::to_string(1 + n(5)), Life(1 + n(3)))(s); break;
     case 4: {
       std::string const d = n(2) == 0 ? "usage" : "drain";
       auto const it = std::find_if(s.duties.begin(), s.duties.end(), [&](Term const& t) { return t.duty == d; });
-      if (it == s.duties.end()) s.duties.push_back(Term{d, "x", "10.0.0.1", 1, 1, ""});
-      else if (n(4) == 0) ++it->fence;
-      else ++it->counter;
+      if (it == s.duties.end())
+        s.duties.push_back(Term{d, "x", "10.0.0.1", 1, 1, ""});
+      else if (n(4) == 0)
+        ++it->fence;
+      else
+        ++it->counter;
       break;
     }
     case 5:
@@ -56,7 +63,8 @@
       p.state = PassState::running;
       p.had.push_back(Had{"shop", 3});
       s.passes.push_back(p);
-      for (unsigned i = 0; i < 4; ++i) s.units.push_back(Unit{p.id, "u" + std::to_string(9 - i), "", i, Stage::waiting, 0});
+      for (unsigned i = 0; i < 4; ++i)
+        s.units.push_back(Unit{p.id, "u" + std::to_string(9 - i), "", i, Stage::waiting, 0});
       break;
     }
     case 7:
@@ -72,23 +80,28 @@
 }
 State founding() {
   State s;
-  for (int i = 0; i < 3; ++i) s.roster.push_back(member(Net::name(i), Life(1)));
+  for (int i = 0; i < 3; ++i)
+    s.roster.push_back(member(Net::name(i), Life(1)));
   return s;
 }
 Acc next_accept(Acceptor const& a, Rnd& r) {
   State to = *a.state();
-  for (unsigned k = r() % 3; k > 0; --k) change(to, r);  // none: a renewal of nothing
+  for (unsigned k = r() % 3; k > 0; --k)
+    change(to, r);  // none: a renewal of nothing
   to.bal = Ballot(a.promised().v + 1 + r() % 3);
   Acc q;
   q.bal = to.bal;
   q.life = a.life();
-  if (r() % 12 == 0) q.state = codec::pack(to);
-  else q.delta = codec::pack(delta_of(*a.state(), to));
+  if (r() % 12 == 0)
+    q.state = codec::pack(to);
+  else
+    q.delta = codec::pack(delta_of(*a.state(), to));
   return q;
 }
 std::map<std::string, std::string> table(std::vector<ValueRow> const& rows) {
   std::map<std::string, std::string> t;
-  for (ValueRow const& r : rows) t[r.key] = r.body;
+  for (ValueRow const& r : rows)
+    t[r.key] = r.body;
   return t;
 }
 
@@ -108,8 +121,10 @@
     bool const ok = !fails && x.w.base == (head ? head->seq : 0);
     if (ok) {
       for (ValueRow const& r : x.w.rows) {
-        if (r.gone) rows.erase(r.key);
-        else rows[r.key] = r.body;
+        if (r.gone)
+          rows.erase(r.key);
+        else
+          rows[r.key] = r.body;
       }
       head = x.w.head;
     }
@@ -117,7 +132,8 @@
   }
   State read() const {
     std::vector<ValueRow> v;
-    for (auto const& [k, b] : rows) v.push_back(ValueRow{k, b, false});
+    for (auto const& [k, b] : rows)
+      v.push_back(ValueRow{k, b, false});
     return value_of(*head, v);
   }
 };
@@ -182,12 +198,15 @@
       Acceptor::Step const s = a.accept(next_accept(a, r), q);
       cr_assert(q.ok);
       for (ValueRow const& x : s.rows) {
-        if (x.gone) rows.erase(x.key);
-        else rows[x.key] = x.body;
+        if (x.gone)
+          rows.erase(x.key);
+        else
+          rows[x.key] = x.body;
       }
       cr_assert(rows == table(rows_of(*a.state())));
       std::vector<ValueRow> v;
-      for (auto const& [k, b] : rows) v.push_back(ValueRow{k, b, false});
+      for (auto const& [k, b] : rows)
+        v.push_back(ValueRow{k, b, false});
       cr_assert(codec::pack(value_of(a.head(), v)) == codec::pack(*a.state()));
     }
   }
@@ -238,7 +257,8 @@
 // Renewing a duty writes its counter and the head, whatever the size of the value.
 Test(disk, a_change_writes_its_own_size) {
   State s = founding();
-  for (int i = 0; i < 2000; ++i) s.items.push_back(Item{"r/h/" + std::to_string(10000 + i), Gen(1), false, std::string(200, 'x')});
+  for (int i = 0; i < 2000; ++i)
+    s.items.push_back(Item{"r/h/" + std::to_string(10000 + i), Gen(1), false, std::string(200, 'x')});
   s.duties.push_back(Term{"usage", "x", "10.0.0.1", 1, 1, ""});
   Acceptor a(Life(1), Ballot(), s);
   auto bytes = [&](auto f) {
@@ -251,7 +271,8 @@
     q.delta = codec::pack(delta_of(*a.state(), to));
     AccR r;
     std::size_t n = 0;
-    for (ValueRow const& x : a.accept(q, r).rows) n += x.key.size() + x.body.size();
+    for (ValueRow const& x : a.accept(q, r).rows)
+      n += x.key.size() + x.body.size();
     cr_assert(r.ok);
     return n;
   };
@@ -277,7 +298,8 @@
       });
     };
     hand(rows_of(*acc->state()));
-    while (!disk.in.empty()) disk.step(false);
+    while (!disk.in.empty())
+      disk.step(false);
     unsigned full = 0;
     for (int i = 0; i < 150; ++i) {
       switch (r() % 6) {
@@ -306,15 +328,18 @@
       State const s = disk.read();
       u64 const seq = disk.head->seq;
       cr_assert(seq >= said, "seed %u: older than what was said", seed);
-      cr_assert(codec::pack(s) == was.at(seq).first && disk.head->promised == was.at(seq).second, "seed %u: not a value that was", seed);
+      cr_assert(codec::pack(s) == was.at(seq).first && disk.head->promised == was.at(seq).second,
+                "seed %u: not a value that was", seed);
       acc = std::make_unique<Acceptor>(Life(1), disk.head->promised, s);
       w = std::make_unique<VoteWriter<FakeDisk>>(disk, seq);
       handed = said = seq;
     }
     // A disk that takes writes again holds the newest.
-    while (!disk.in.empty()) disk.step(false);
+    while (!disk.in.empty())
+      disk.step(false);
     hand({});
-    while (!disk.in.empty()) disk.step(false);
+    while (!disk.in.empty())
+      disk.step(false);
     cr_assert(codec::pack(disk.read()) == codec::pack(*acc->state()), "seed %u", seed);
   }
 }
@@ -328,7 +353,8 @@
   Head head;
   {
     Member1 m(d.path);
-    for (int i = 0; i < 700; ++i) cr_assert(m.accept(r));  // more than one checkpoint's worth
+    for (int i = 0; i < 700; ++i)
+      cr_assert(m.accept(r));  // more than one checkpoint's worth
     pack = codec::pack(*m.acc.state());
     head = m.acc.head();
   }
@@ -341,12 +367,14 @@
   std::size_t refused = 0, read = 0;
   auto look = [&](std::string const& name, std::string const& bytes, std::string const& what) {
     Dir const t;
-    for (auto const& [n, b] : files) std::ofstream(t.path + "/" + n, std::ios::binary) << (n == name ? bytes : b);
+    for (auto const& [n, b] : files)
+      std::ofstream(t.path + "/" + n, std::ios::binary) << (n == name ? bytes : b);
     try {
       Store s(t.path);
       OnDisk const o = s.load();
       cr_assert(o.head && o.value, "%s: read as empty", what.c_str());
-      cr_assert(codec::pack(*o.value) == pack && o.head->promised == head.promised && o.head->life == head.life, "%s: not what was said", what.c_str());
+      cr_assert(codec::pack(*o.value) == pack && o.head->promised == head.promised && o.head->life == head.life,
+                "%s: not what was said", what.c_str());
       ++read;
     } catch (Unreadable const&) {
       ++refused;
@@ -384,12 +412,14 @@
     std::string pack;
     {
       Member1 m(d.path);
-      for (int i = 0; i < 10; ++i) cr_assert(m.accept(r));
+      for (int i = 0; i < 10; ++i)
+        cr_assert(m.accept(r));
       rlimit tight = old;
       tight.rlim_cur = fs::file_size(d.path + "/register.db-wal") + k * 700;
       ::setrlimit(RLIMIT_FSIZE, &tight);
       int refused = 0;
-      for (int i = 0; i < 12; ++i) refused += m.accept(r) ? 0 : 1;
+      for (int i = 0; i < 12; ++i)
+        refused += m.accept(r) ? 0 : 1;
       cr_assert_gt(refused, 0);
       if (k % 2 == 0) {
         ::setrlimit(RLIMIT_FSIZE, &old);
@@ -411,7 +441,8 @@
   {
     Member1 m(d.path);
     Rnd r(2);
-    for (int i = 0; i < 700; ++i) m.accept(r);  // so that the file itself has its first page
+    for (int i = 0; i < 700; ++i)
+      m.accept(r);  // so that the file itself has its first page
   }
   std::ofstream(d.path + "/register.db", std::ios::in | std::ios::out | std::ios::binary) << "torn";
   bool refused = false;
@@ -437,13 +468,15 @@
 
 // Rows that SQLite itself finds nothing wrong with.
 Test(disk, a_row_changed_behind_our_back_is_seen_on_opening) {
-  for (char const* sql : {"UPDATE meta SET v=CAST(substr(v,1,11)||x'7f'||substr(v,13) AS BLOB) WHERE k='head'", "UPDATE claim SET holder=holder+1",
-                          "UPDATE value SET v=x'00' WHERE k LIKE 'm/%'", "DELETE FROM value WHERE k LIKE 'm/%'", "DELETE FROM meta WHERE k='head'"}) {
+  for (char const* sql : {"UPDATE meta SET v=CAST(substr(v,1,11)||x'7f'||substr(v,13) AS BLOB) WHERE k='head'",
+                          "UPDATE claim SET holder=holder+1", "UPDATE value SET v=x'00' WHERE k LIKE 'm/%'",
+                          "DELETE FROM value WHERE k LIKE 'm/%'", "DELETE FROM meta WHERE k='head'"}) {
     Dir const d;
     {
       Member1 m(d.path);
       Rnd r(3);
-      for (int i = 0; i < 5; ++i) cr_assert(m.accept(r));
+      for (int i = 0; i < 5; ++i)
+        cr_assert(m.accept(r));
     }
     sqlite3* h = nullptr;
     sqlite3_open((d.path + "/register.db").c_str(), &h);
@@ -487,7 +520,8 @@
   Dir const d;
   Rnd r(8);
   State s = founding();
-  for (int i = 0; i < 50; ++i) change(s, r);
+  for (int i = 0; i < 50; ++i)
+    change(s, r);
   s.bal = Ballot(77);
   std::string const state = codec::pack(s);
   sqlite3* h = nullptr;
@@ -495,8 +529,10 @@
   char const* const sql =
       "PRAGMA journal_mode=WAL;CREATE TABLE meta(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID;"
       "CREATE TABLE claim(k TEXT PRIMARY KEY, holder INTEGER, sealed INTEGER) WITHOUT ROWID;"
-      "CREATE TABLE server(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID;CREATE TABLE ret(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID;"
-      "INSERT INTO meta VALUES('life','5'),('promised','80'),('whole','1');INSERT INTO claim VALUES('a',9,1),('b',8,0);";
+      "CREATE TABLE server(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID;CREATE TABLE ret(k TEXT PRIMARY KEY, v BLOB) "
+      "WITHOUT ROWID;"
+      "INSERT INTO meta VALUES('life','5'),('promised','80'),('whole','1');INSERT INTO claim "
+      "VALUES('a',9,1),('b',8,0);";
   cr_assert_eq(sqlite3_exec(h, sql, nullptr, nullptr, nullptr), SQLITE_OK);
   sqlite3_stmt* q = nullptr;
   sqlite3_prepare_v2(h, "INSERT INTO meta VALUES('state',?)", -1, &q, nullptr);
@@ -509,7 +545,8 @@
     OnDisk const o = x.load();
     cr_assert(o.head && o.head->life == Life(5) && o.head->promised == Ballot(80));
     cr_assert(codec::pack(*o.value) == state);
-    cr_assert(o.keys_filled == 1 && o.keys.size() == 2 && o.keys[0].sealed && o.keys[0].holder == 9 && !o.keys[1].sealed);
+    cr_assert(o.keys_filled == 1 && o.keys.size() == 2 && o.keys[0].sealed && o.keys[0].holder == 9 &&
+              !o.keys[1].sealed);
   }
 }
 
@@ -518,7 +555,8 @@
   {
     Member1 m(d.path);
     Rnd r(2);
-    for (int i = 0; i < 700; ++i) m.accept(r);  // so that the file itself has its first page
+    for (int i = 0; i < 700; ++i)
+      m.accept(r);  // so that the file itself has its first page
   }
   std::fstream f(d.path + "/register.db", std::ios::in | std::ios::out | std::ios::binary);
   f.seekp(63);
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-Order order_of(std::vector<std::pair<std::string, u32>> const& units, std::string const& id = "7", double headroom = 0.2) {
+Order order_of(std::vector<std::pair<std::string, u32>> const& units, std::string const& id = "7",
+               double headroom = 0.2) {
   Order o;
   o.id = id;
   o.headroom = headroom;
@@ -80,7 +81,8 @@
             clients.push_back(c);
           }
         }
-    for (int i = 0; i < 3; ++i) cores.push_back(Core{Duty("drain", "c" + std::to_string(i), "", DutyPlan{3, 0.4, 1.0}, 0)});
+    for (int i = 0; i < 3; ++i)
+      cores.push_back(Core{Duty("drain", "c" + std::to_string(i), "", DutyPlan{3, 0.4, 1.0}, 0)});
   }
   double u(double a, double b) { return std::uniform_real_distribution<>(a, b)(rnd); }
 
@@ -141,9 +143,11 @@
       Duty::Ask const a = c.duty.ask(m, now);
       Duty const was = c.duty;
       u64 const life = lives[i];
-      submit(i, [was, a](State& s) { return was.apply(s, a); }, [this, i, a, life](bool ok) {
-        if (lives[i] == life) cores[i].duty.answered(a, ok, now);
-      });
+      submit(
+          i, [was, a](State& s) { return was.apply(s, a); },
+          [this, i, a, life](bool ok) {
+            if (lives[i] == life) cores[i].duty.answered(a, ok, now);
+          });
     }
     if (!c.duty.may_act(now, 0)) {
       c.drainer.forget();
@@ -179,7 +183,8 @@
       cat.keep(s);
     }
     c.list.clear();
-    for (Site const* s : cat.resolve(Consumer{c.zone, c.region}, cordoned)) c.list.push_back(ix[s->front]);
+    for (Site const* s : cat.resolve(Consumer{c.zone, c.region}, cordoned))
+      c.list.push_back(ix[s->front]);
     c.asked = now;
   }
 
@@ -214,7 +219,8 @@
       q.erase(q.begin() + static_cast<long>(k));
       f();
     }
-    for (std::size_t i = 0; i < cores.size(); ++i) core_step(i);
+    for (std::size_t i = 0; i < cores.size(); ++i)
+      core_step(i);
     for (Client& c : clients) {
       if (now - c.asked > c.keeps) resolve(c);
       if (u(0, 1) < demand * surge * dt) request(c);
@@ -232,15 +238,19 @@
         Unit const* x = unit_of(reg, p.front);
         if (x != nullptr && x->stage == Stage::back) x = nullptr;
         p.told = x == nullptr ? Stage::waiting : x->stage;
-        if (p.told == Stage::waiting) p.cordoned_at = -1;
-        else if (p.cordoned_at < 0) p.cordoned_at = now;
+        if (p.told == Stage::waiting)
+          p.cordoned_at = -1;
+        else if (p.cordoned_at < 0)
+          p.cordoned_at = now;
         p.told_life = x == nullptr ? 0 : x->life;
       }
       // The operator restarts what is empty.
       Unit const* x = unit_of(reg, p.front);
-      if (x != nullptr && x->stage == Stage::empty && x->life == p.life && p.restart_at < 0) p.restart_at = now + u(0.3, 2);
+      if (x != nullptr && x->stage == Stage::empty && x->life == p.life && p.restart_at < 0)
+        p.restart_at = now + u(0.3, 2);
       if (p.restart_at >= 0 && now >= p.restart_at) {
-        for (Open const& o : p.open) cut += o.kind != 0 ? 1 : 0;
+        for (Open const& o : p.open)
+          cut += o.kind != 0 ? 1 : 0;
         restart(p, 2);
         p.restart_at = -1;
       }
@@ -276,7 +286,8 @@
 
 Order whole_order(Morning const& m) {
   std::vector<std::pair<std::string, u32>> units;
-  for (std::size_t i = 0; i < m.proxies.size(); ++i) units.emplace_back(m.proxies[i].front, static_cast<u32>(i % 4));
+  for (std::size_t i = 0; i < m.proxies.size(); ++i)
+    units.emplace_back(m.proxies[i].front, static_cast<u32>(i % 4));
   return order_of(units);
 }
 void begin_pass(Morning& m) {
@@ -291,7 +302,8 @@
 Test(drain, a_rolling_pass_over_a_busy_morning) {
   for (unsigned seed = 1; seed <= 25; ++seed) {
     Morning m(seed, 0.8);
-    for (int i = 0; i < 100; ++i) m.step();
+    for (int i = 0; i < 100; ++i)
+      m.step();
     begin_pass(m);
     std::set<std::string> restarted;
     Secs blow = m.now + 5, short_since = -1, loss = m.now + m.u(2, 60);
@@ -299,7 +311,8 @@
       m.step();
       for (auto const& [g, r] : m.rooms()) {
         short_since = r.nodes == 0 || r.load > 1 ? (short_since < 0 ? m.now : short_since) : -1;
-        cr_assert(short_since < 0 || m.now - short_since < 1, "seed %u: %s is short at %.1f: %u nodes at %.2f", seed, g.c_str(), m.now, r.nodes, r.load);
+        cr_assert(short_since < 0 || m.now - short_since < 1, "seed %u: %s is short at %.1f: %u nodes at %.2f", seed,
+                  g.c_str(), m.now, r.nodes, r.load);
       }
       if (m.now >= loss) {  // a proxy is lost, with what was open there; the order comes once more
         loss = 1e18;
@@ -323,13 +336,16 @@
         default: m.cores[i].cut_until = m.now + m.u(0.5, 6); break;
       }
     }
-    cr_assert(m.pass().state == PassState::done, "seed %u: at %.0f s %u of %u are back: %s", seed, m.now, m.pass().back, m.pass().total, m.pass().why.c_str());
+    cr_assert(m.pass().state == PassState::done, "seed %u: at %.0f s %u of %u are back: %s", seed, m.now, m.pass().back,
+              m.pass().total, m.pass().why.c_str());
     cr_assert(m.reg.units.empty());
-    for (auto const& p : m.proxies) cr_assert_geq(p.life, 2, "seed %u: %s was restarted", seed, p.front.c_str());
+    for (auto const& p : m.proxies)
+      cr_assert_geq(p.life, 2, "seed %u: %s was restarted", seed, p.front.c_str());
     cr_assert_eq(m.cut, 0, "seed %u: %llu cut", seed, static_cast<unsigned long long>(m.cut));
     cr_assert_eq(m.unserved, 0, "seed %u: %llu unserved", seed, static_cast<unsigned long long>(m.unserved));
     cr_assert_gt(m.runs.size(), 1000u);
-    for (auto const& [k, n] : m.runs) cr_assert_eq(n, 1);
+    for (auto const& [k, n] : m.runs)
+      cr_assert_eq(n, 1);
   }
 }
 
@@ -339,7 +355,8 @@
   std::size_t days_taken_back = 0;
   for (unsigned seed = 1; seed <= 16; ++seed) {
     Morning m(seed, 0.65);
-    for (int i = 0; i < 100; ++i) m.step();
+    for (int i = 0; i < 100; ++i)
+      m.step();
     begin_pass(m);
     Secs const at = m.now + m.u(5, 14), end = at + 40;
     bool const surge = seed % 2 == 0;
@@ -348,7 +365,8 @@
     std::map<std::string, Stage> was;
     while (m.pass().state == PassState::running && m.now < 900) {
       m.step();
-      if (surge) m.surge = m.now > at && m.now < end ? 1.9 : 1;
+      if (surge)
+        m.surge = m.now > at && m.now < end ? 1.9 : 1;
       else
         for (auto& p : m.proxies)
           if (p.zone == "n0" && m.now > at && m.now < at + 0.15) m.restart(p, end - at);
@@ -361,13 +379,16 @@
         taken_back = taken_back || (was[x.name] != Stage::waiting && x.stage == Stage::waiting);
         was[x.name] = x.stage;
       }
-      if (real_since >= 0 && m.now - real_since > 6) cr_assert_eq(out, 0, "seed %u: %zu still out at %.1f, %u nodes at %.2f", seed, out, m.now, r.nodes, r.load);
+      if (real_since >= 0 && m.now - real_since > 6)
+        cr_assert_eq(out, 0, "seed %u: %zu still out at %.1f, %u nodes at %.2f", seed, out, m.now, r.nodes, r.load);
       said = said || m.pass().why.find("region ") == 0;
     }
-    cr_assert(m.pass().state == PassState::done, "seed %u: %u of %u back: %s", seed, m.pass().back, m.pass().total, m.pass().why.c_str());
+    cr_assert(m.pass().state == PassState::done, "seed %u: %u of %u back: %s", seed, m.pass().back, m.pass().total,
+              m.pass().why.c_str());
     cr_assert(said || !taken_back, "seed %u: who is taken back is told why", seed);
     days_taken_back += taken_back ? 1 : 0;
-    for (auto const& [k, n] : m.runs) cr_assert_eq(n, 1);
+    for (auto const& [k, n] : m.runs)
+      cr_assert_eq(n, 1);
     cr_assert_eq(m.cut, 0);
   }
   cr_assert_geq(days_taken_back, 12u, "%zu", days_taken_back);
@@ -387,8 +408,10 @@
     cr_assert_eq(e.code, 409);
     cr_assert_str_eq(e.what(), "b: already in pass 7");
   }
-  for (auto const& [o, why] : {std::pair{order_of({{"x", 0}, {"x", 0}}), "x: named twice"}, {order_of({}), "units: empty"},
-                               {order_of({{"x", 0}}, "7", 1.0), "headroom: wants a share from 0 to below 1"}, {order_of({{"x", 0}}, "z"), "id: wants a number above 0"}}) {
+  for (auto const& [o, why] : {std::pair{order_of({{"x", 0}, {"x", 0}}), "x: named twice"},
+                               {order_of({}), "units: empty"},
+                               {order_of({{"x", 0}}, "7", 1.0), "headroom: wants a share from 0 to below 1"},
+                               {order_of({{"x", 0}}, "z"), "id: wants a number above 0"}}) {
     try {
       check(o);
       cr_assert_fail("%s", why);
@@ -551,7 +574,8 @@
   cr_assert(p.fits);
   std::set<std::string> all;
   for (Wave const& w : p.waves) {
-    for (auto const& f : w.fronts) cr_assert(all.insert(f).second, "each once");
+    for (auto const& f : w.fronts)
+      cr_assert(all.insert(f).second, "each once");
     for (auto const& r : w.regions) {
       cr_assert_leq(r.load, 0.8);
       cr_assert_geq(r.nodes, r.region == "north" ? 8u : 4u, "half of a region stays");
@@ -574,8 +598,9 @@
 Test(drain, names_are_found_or_said) {
   Capture const c = halls(2, 0.2);
   cr_assert_eq(nodes_named(c, {"n1", "edge-s1-0"}).size(), 3u);
-  for (auto const& [names, why] : {std::pair<std::vector<std::string>, char const*>{{"n1", "edge-n1-0"}, "n1:0: named twice"},
-                                   {{"oslo"}, "no such node, zone or region: oslo"}}) {
+  for (auto const& [names, why] :
+       {std::pair<std::vector<std::string>, char const*>{{"n1", "edge-n1-0"}, "n1:0: named twice"},
+        {{"oslo"}, "no such node, zone or region: oslo"}}) {
     try {
       nodes_named(c, names);
       cr_assert_fail("%s", why);
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -65,7 +65,9 @@
     tell(i);
   }
 
-  void later(Secs d, int node, std::function<void()> f) { q.push_back(Later{now + d, std::move(f), node, node < 0 ? 0 : nodes[static_cast<std::size_t>(node)].life}); }
+  void later(Secs d, int node, std::function<void()> f) {
+    q.push_back(Later{now + d, std::move(f), node, node < 0 ? 0 : nodes[static_cast<std::size_t>(node)].life});
+  }
 
   void tell(int i) {
     State const s = reg;
@@ -87,7 +89,8 @@
         if (change(s)) {
           reg = s;
           *ok = true;
-          for (int k = 0; k < static_cast<int>(nodes.size()); ++k) tell(k);
+          for (int k = 0; k < static_cast<int>(nodes.size()); ++k)
+            tell(k);
         }
       });
     bool const mute = lost || u(0, 1) < 0.1;  // the answer is lost: nobody knows
@@ -109,7 +112,8 @@
       q.erase(q.begin() + static_cast<long>(k));
       if (!dead) f();
     }
-    for (int i = 0; i < static_cast<int>(nodes.size()); ++i) node_step(i);
+    for (int i = 0; i < static_cast<int>(nodes.size()); ++i)
+      node_step(i);
   }
 
   void node_step(int i) {
@@ -143,7 +147,8 @@
       return;
     }
     if (auto const f = x.rep->to_fix(x.known, x.totals, 500 + now, now, now - d.since()))
-      submit(i, [f](State& s) { return Reporter::fix(s, *f); }, [](bool) {});
+      submit(
+          i, [f](State& s) { return Reporter::fix(s, *f); }, [](bool) {});
     auto const s = x.rep->to_send(x.known, now);
     if (!s || !d.may_act(now, x.rep->call_s())) return;
     x.rep->sent(now);
@@ -171,14 +176,17 @@
     for (std::size_t k = 0; k < acts.size(); ++k) {
       Act const& a = acts[k];
       auto const [b, fresh] = bodies.try_emplace(a.window, a.body);
-      cr_assert(fresh || b->second == a.body, "seed %u: two bodies for window %llu", seed, static_cast<unsigned long long>(a.window));
+      cr_assert(fresh || b->second == a.body, "seed %u: two bodies for window %llu", seed,
+                static_cast<unsigned long long>(a.window));
       auto const [h, first] = by_fence.try_emplace(a.fence, a.node);
-      cr_assert(first || h->second == a.node, "seed %u: fence %llu from two nodes", seed, static_cast<unsigned long long>(a.fence));
+      cr_assert(first || h->second == a.node, "seed %u: fence %llu from two nodes", seed,
+                static_cast<unsigned long long>(a.fence));
       cr_assert(a.fence >= top || a.excused, "seed %u: a fence fell at %f", seed, a.at);
       top = std::max(top, a.fence);
       for (std::size_t j = 0; j < k; ++j) {
         if (acts[j].node != a.node || a.at - acts[j].at > 3.0) continue;
-        for (std::size_t m = j; m < k; ++m) cr_assert(acts[m].node == a.node || a.excused || acts[m].excused, "seed %u: A, B, A at %f", seed, a.at);
+        for (std::size_t m = j; m < k; ++m)
+          cr_assert(acts[m].node == a.node || a.excused || acts[m].excused, "seed %u: A, B, A at %f", seed, a.at);
       }
     }
   }
@@ -227,7 +235,8 @@
     }
     s.judge(seed);
     std::set<u64> w;
-    for (auto const& a : s.acts) w.insert(a.window);
+    for (auto const& a : s.acts)
+      w.insert(a.window);
     reported += w.size();
     changes += s.reg.term("usage") != nullptr ? s.reg.term("usage")->fence : 0;
   }
@@ -237,10 +246,12 @@
 
 Test(duty, a_quiet_day_has_one_holder_and_one_call_a_window) {
   Sim s(5, 3);
-  while (s.now < 60) s.step(0.05);
+  while (s.now < 60)
+    s.step(0.05);
   cr_assert_eq(s.reg.term("usage")->fence, 1);
   std::set<u64> w;
-  for (auto const& a : s.acts) w.insert(a.window);
+  for (auto const& a : s.acts)
+    w.insert(a.window);
   // 500 + t: windows 100 .. end 3 s after they closed.
   cr_assert_geq(w.size(), 10u);
   cr_assert_leq(s.acts.size(), w.size() * 2, "an answer lost now and then costs one repeat");
--- a/tests/errand_test.cpp
+++ b/tests/errand_test.cpp
@@ -6,10 +6,14 @@
 using namespace dockbend;
 
 namespace {
-Reply good() { return Reply{200, {{"Content-Length", "4"}, {"X-Attempt-Id", "a1"}, {"X-Server-Seal", "s"}}, 4}; }
+Reply good() {
+  return Reply{200, {{"Content-Length", "4"}, {"X-Attempt-Id", "a1"}, {"X-Server-Seal", "s"}}, 4};
+}
 }  // namespace
 
-Test(errand, whole_answer_of_this_errand_passes) { cr_assert(judge(good(), "a1") == End::whole); }
+Test(errand, whole_answer_of_this_errand_passes) {
+  cr_assert(judge(good(), "a1") == End::whole);
+}
 
 // One header or figure of a good answer is spoiled at a time.
 Test(errand, each_spoiled_answer_is_seen) {
@@ -24,18 +28,23 @@
   cr_assert(with([](Reply& r) { r.heads.erase(r.heads.begin()); }) == End::broken, "unframed");
   cr_assert(with([](Reply& r) { r.body = 3; }) == End::broken, "ends early");
   cr_assert(with([](Reply& r) { r.heads.emplace_back("Content-Length", "4"); }) == End::broken, "two lengths");
-  cr_assert(with([](Reply& r) { r.heads.emplace_back("Transfer-Encoding", "chunked"); }) == End::broken, "length and coding");
+  cr_assert(with([](Reply& r) { r.heads.emplace_back("Transfer-Encoding", "chunked"); }) == End::broken,
+            "length and coding");
   cr_assert(with([](Reply& r) { r.heads[0].second = "4x"; }) == End::broken, "no number");
   for (int const c : {429, 503, 408})
     cr_assert(with([c](Reply& r) { r.code = c; }) == End::broken, "%d without X-Not-Run promises nothing", c);
   cr_assert(with([](Reply& r) { r.code = 503, r.heads.emplace_back("X-Not-Run", "1"); }) == End::not_run);
-  cr_assert(with([](Reply& r) { r.code = 503, r.heads[1].second = "a2", r.heads.emplace_back("X-Not-Run", "1"); }) == End::broken,
+  cr_assert(with([](Reply& r) { r.code = 503, r.heads[1].second = "a2", r.heads.emplace_back("X-Not-Run", "1"); }) ==
+                End::broken,
             "a refusal of another errand proves nothing of this one");
   cr_assert(with([](Reply& r) { r.heads.emplace_back("X-Attempt-Id", "a2"); }) == End::broken, "two ids");
   for (int const c : {503, 421, 400})
-    cr_assert(with([c](Reply& r) { r.code = c, r.heads.erase(r.heads.begin() + 1), r.heads.emplace_back("X-Not-Run", "1"); }) == End::broken,
+    cr_assert(with([c](Reply& r) {
+                r.code = c, r.heads.erase(r.heads.begin() + 1), r.heads.emplace_back("X-Not-Run", "1");
+              }) == End::broken,
               "a refusal without an id, %d, may be of an earlier request", c);
-  cr_assert(with([](Reply& r) { r.heads.emplace_back("X-Not-Run", "1"); }) == End::broken, "a success that says it has not run");
+  cr_assert(with([](Reply& r) { r.heads.emplace_back("X-Not-Run", "1"); }) == End::broken,
+            "a success that says it has not run");
   cr_assert(with([](Reply& r) { r.head = true, r.body = 0; }) == End::whole, "an answer to a HEAD has no body");
   cr_assert(with([](Reply& r) { r.code = 421; }) == End::misdirected);
   cr_assert(with([](Reply& r) { r.code = 500; }) == End::whole);
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -66,7 +66,8 @@
         proxies.push_back(std::move(p));
       }
     }
-    for (std::size_t k = 0; k < 5; ++k) disks.emplace_back(true);
+    for (std::size_t k = 0; k < 5; ++k)
+      disks.emplace_back(true);
     std::vector<Assign::Seen> rows;
     for (Server const& s : servers) {
       Assign::Seen x;
@@ -159,8 +160,10 @@
     if (gone.count(s.zone) > 0) ++into_gone;
     if (!e.w.key.empty()) ++runs[e.w.key];
     uploads_begun += e.w.upload ? 1 : 0;
-    if (s.busy < 4) begin(s, e.w, e.at);
-    else s.queue.push_back(e.w);
+    if (s.busy < 4)
+      begin(s, e.w, e.at);
+    else
+      s.queue.push_back(e.w);
   }
   void begin(Server& s, Work const& w, Secs now) {
     ++s.busy;
@@ -185,14 +188,17 @@
       Event const e = q.top();
       q.pop();
       now = e.at;
-      if (e.what == 1) answer(e);
-      else if (arrivals) arrive(e);
+      if (e.what == 1)
+        answer(e);
+      else if (arrivals)
+        arrive(e);
     }
     now = until;
   }
   void evacuate(std::set<std::string> const& z) {
     gone = z;
-    for (Proxy& p : proxies) p.as->evacuated(z, now);
+    for (Proxy& p : proxies)
+      p.as->evacuated(z, now);
   }
   Capture capture() const {
     Capture c;
@@ -280,7 +286,8 @@
     cr_assert_gt(t.uploads_begun, 300u);
     cr_assert_eq(t.uploads_begun, t.uploads_ended, "seed %u", seed);
     cr_assert_gt(t.repeats, 50u);
-    for (auto const& [k, n] : t.runs) cr_assert_eq(n, 1, "seed %u: %s ran %d times", seed, k.c_str(), n);
+    for (auto const& [k, n] : t.runs)
+      cr_assert_eq(n, 1, "seed %u: %s ran %d times", seed, k.c_str(), n);
   }
 }
 
@@ -294,9 +301,11 @@
       Forecast const f = forecast(t.capture(), {"n1", "n2"}, ForecastPlan{});
       cr_assert_not(f.fits, "seed %u", seed);
       bool over = false;
-      for (ZoneLoad const& z : f.loads) over = over || (z.zone == "s1" && z.overloaded);
+      for (ZoneLoad const& z : f.loads)
+        over = over || (z.zone == "s1" && z.overloaded);
       cr_assert(over || !f.unserved.empty(), "seed %u: what finds no place is named", seed);
-      for (Unserved const& x : f.unserved) said += x.rate;
+      for (Unserved const& x : f.unserved)
+        said += x.rate;
       t.evacuate({"n1", "n2"});
       t.count_from = t.now + 6;
       t.run(t.now + 26);
@@ -304,6 +313,7 @@
     }
     cr_assert_gt(seen, 6.0, "it is an overload");
     // 351 requests a second come.
-    cr_assert_lt(std::abs(said - seen) / 6, 0.1 * 351, "width %.2f: %.1f a second said, %.1f seen", width, said / 6, seen / 6);
+    cr_assert_lt(std::abs(said - seen) / 6, 0.1 * 351, "width %.2f: %.1f a second said, %.1f seen", width, said / 6,
+                 seen / 6);
   }
 }
--- a/tests/golden.hpp
+++ b/tests/golden.hpp
@@ -21,7 +21,9 @@
   char const* const value = std::getenv("DOCKBEND_WRITE_GOLDEN");
   return value != nullptr && std::string(value) == "1";
 }
-inline std::string golden_path(std::string const& name) { return std::string(DOCKBEND_GOLDEN_DIR) + "/" + name; }
+inline std::string golden_path(std::string const& name) {
+  return std::string(DOCKBEND_GOLDEN_DIR) + "/" + name;
+}
 
 inline std::string to_hex(std::string_view bytes) {
   static char const digits[] = "0123456789abcdef";
--- a/tests/golden_fields.hpp
+++ b/tests/golden_fields.hpp
@@ -38,14 +38,14 @@
 struct GoldenFields;  // no list for this record: add one below
 
 #define DOCKBEND_GOLDEN_VISIT(r, data, field) visit(record.field);
-#define DOCKBEND_GOLDEN_FIELDS(Type, ...)                                                        \
-  template <>                                                                                    \
-  struct GoldenFields<Type> {                                                                    \
-    static std::size_t constexpr kCount = BOOST_PP_VARIADIC_SIZE(__VA_ARGS__);                   \
-    template <class Visit>                                                                       \
-    static void each(Type& record, Visit visit) {                                                \
-      BOOST_PP_SEQ_FOR_EACH(DOCKBEND_GOLDEN_VISIT, _, BOOST_PP_VARIADIC_TO_SEQ(__VA_ARGS__))     \
-    }                                                                                            \
+#define DOCKBEND_GOLDEN_FIELDS(Type, ...)                                                    \
+  template <>                                                                                \
+  struct GoldenFields<Type> {                                                                \
+    static std::size_t constexpr kCount = BOOST_PP_VARIADIC_SIZE(__VA_ARGS__);               \
+    template <class Visit>                                                                   \
+    static void each(Type& record, Visit visit) {                                            \
+      BOOST_PP_SEQ_FOR_EACH(DOCKBEND_GOLDEN_VISIT, _, BOOST_PP_VARIADIC_TO_SEQ(__VA_ARGS__)) \
+    }                                                                                        \
   };
 
 DOCKBEND_GOLDEN_FIELDS(ViaAsk, ip)
@@ -89,12 +89,12 @@
 DOCKBEND_GOLDEN_FIELDS(FixedWindow, window, body)
 DOCKBEND_GOLDEN_FIELDS(Unit, pass, name, node, wave, stage, life)
 DOCKBEND_GOLDEN_FIELDS(Had, service, n)
-DOCKBEND_GOLDEN_FIELDS(Pass, id, servers, state, headroom, max_out, patience, replaced, why, had, total, back,
-                       digest, heard, turn)
-DOCKBEND_GOLDEN_FIELDS(State, bal, epoch, items, evacs, roster, duties, to_fix, fixed, open, passes, units, was,
-                       widest, retired)
-DOCKBEND_GOLDEN_FIELDS(Delta, base, bal, epoch, items, evacs_set, evacs, roster_set, roster, duties_set, duties,
-                       to_fix, fixed_set, fixed, open, passes_set, passes, units, was_set, was, widest, retired)
+DOCKBEND_GOLDEN_FIELDS(Pass, id, servers, state, headroom, max_out, patience, replaced, why, had, total, back, digest,
+                       heard, turn)
+DOCKBEND_GOLDEN_FIELDS(State, bal, epoch, items, evacs, roster, duties, to_fix, fixed, open, passes, units, was, widest,
+                       retired)
+DOCKBEND_GOLDEN_FIELDS(Delta, base, bal, epoch, items, evacs_set, evacs, roster_set, roster, duties_set, duties, to_fix,
+                       fixed_set, fixed, open, passes_set, passes, units, was_set, was, widest, retired)
 DOCKBEND_GOLDEN_FIELDS(Prep, bal, have, life)
 DOCKBEND_GOLDEN_FIELDS(PrepR, ok, bal, promised, accepted, full, state, life, delta)
 DOCKBEND_GOLDEN_FIELDS(Acc, bal, life, delta, state)
@@ -147,8 +147,8 @@
 DOCKBEND_GOLDEN_FIELDS(CapPool, name, connLimit, coldRateS)
 DOCKBEND_GOLDEN_FIELDS(CapLane, name, kind, rank, setpointS, homes)
 DOCKBEND_GOLDEN_FIELDS(CapSite, front, node, zone, region, ready, load)
-DOCKBEND_GOLDEN_FIELDS(Capture, takenAt, node, settled, beatPeriodS, zones, servers, pools, lanes, surveys,
-                       silent, sites)
+DOCKBEND_GOLDEN_FIELDS(Capture, takenAt, node, settled, beatPeriodS, zones, servers, pools, lanes, surveys, silent,
+                       sites)
 DOCKBEND_GOLDEN_FIELDS(LaneFlow, zone, lane, kind, now, after)
 DOCKBEND_GOLDEN_FIELDS(ZoneLoad, zone, service, servers, slots, usedNow, usedAfter, overloaded)
 DOCKBEND_GOLDEN_FIELDS(Unserved, lane, kind, rate, homeless)
@@ -173,7 +173,8 @@
       fill(x.v);
     } else if constexpr (codec::IsVec<T>::value) {
       x.resize(2);
-      for (auto& element : x) fill(element);
+      for (auto& element : x)
+        fill(element);
     } else if constexpr (codec::Record<T>) {
       fill_first(x, GoldenFields<T>::kCount);
     } else if constexpr (std::is_same_v<T, std::string>) {
--- a/tests/golden_settings_test.cpp
+++ b/tests/golden_settings_test.cpp
@@ -9,15 +9,23 @@
 using namespace dockbend::test;
 
 namespace {
-std::string text(std::string const& value) { return value; }
-std::string text(bool value) { return value ? "true" : "false"; }
+std::string text(std::string const& value) {
+  return value;
+}
+std::string text(bool value) {
+  return value ? "true" : "false";
+}
 std::string text(double value) {
   char digits[40];
   std::snprintf(digits, sizeof digits, "%.12g", value);
   return digits;
 }
-std::string text(u32 value) { return std::to_string(value); }
-std::string text(std::size_t value) { return std::to_string(value); }
+std::string text(u32 value) {
+  return std::to_string(value);
+}
+std::string text(std::size_t value) {
+  return std::to_string(value);
+}
 
 void check_settings(GoldenFile& file, Settings const& settings) {
   file.check("nodeName", text(settings.nodeName));
@@ -27,8 +35,10 @@
   file.check("zone", text(settings.zone));
   file.check("region", text(settings.region));
   file.check("dataDir", text(settings.dataDir));
-  for (auto const& [zone, region] : settings.zones) file.check("zones." + zone, region);
-  for (auto const& [name, address] : settings.bind) file.check("bind." + name, address.str());
+  for (auto const& [zone, region] : settings.zones)
+    file.check("zones." + zone, region);
+  for (auto const& [name, address] : settings.bind)
+    file.check("bind." + name, address.str());
   file.check("innerPorts-1", text(settings.innerFirst));
   file.check("innerPorts-2", text(settings.innerLast));
   file.check("agentPort", text(settings.agentPort));
--- a/tests/golden_store_test.cpp
+++ b/tests/golden_store_test.cpp
@@ -35,7 +35,8 @@
   value.items[1].key = "s/service-1";
   value.duties[0].duty = "drain";
   value.duties[1].duty = "usage";
-  for (std::size_t i = 0; i < value.units.size(); ++i) value.units[i].pass = value.passes[0].id;
+  for (std::size_t i = 0; i < value.units.size(); ++i)
+    value.units[i].pass = value.passes[0].id;
   return value;
 }
 State founding_value() {
@@ -146,7 +147,8 @@
     file.check("key/" + key.key, std::to_string(key.holder) + (key.sealed ? " sealed" : " open"));
   }
   std::size_t number = 0;
-  for (std::string const& server : disk.servers) file.check("server/" + std::to_string(++number), to_hex(server));
+  for (std::string const& server : disk.servers)
+    file.check("server/" + std::to_string(++number), to_hex(server));
   for (auto const& [key, size] : disk.answers) {
     file.check("answer/" + key, std::to_string(size) + " " + to_hex(store.answer(key)));
   }
@@ -160,7 +162,8 @@
   auto each = [&](std::string const& sql, auto visit) {
     sqlite3_stmt* statement = nullptr;
     cr_assert_eq(sqlite3_prepare_v2(database, sql.c_str(), -1, &statement, nullptr), SQLITE_OK, "%s", sql.c_str());
-    while (sqlite3_step(statement) == SQLITE_ROW) visit(statement);
+    while (sqlite3_step(statement) == SQLITE_ROW)
+      visit(statement);
     sqlite3_finalize(statement);
   };
   auto column = [](sqlite3_stmt* statement, int i) {
@@ -196,7 +199,8 @@
     fs::remove_all(golden);
     copy_store(directory.path, golden);
   }
-  for (char const* name : kStoreFiles) cr_assert(fs::exists(golden + "/" + name), "golden file is missing: %s", name);
+  for (char const* name : kStoreFiles)
+    cr_assert(fs::exists(golden + "/" + name), "golden file is missing: %s", name);
   copy_store(golden, directory.path);
   GoldenFile file("store-layout-2.txt");
   check_loaded(file, directory.path);
@@ -238,9 +242,11 @@
   write_store(directory.path);
   GoldenFile file("store-new.txt");
   std::vector<std::string> names;
-  for (auto const& entry : fs::directory_iterator(directory.path)) names.push_back(entry.path().filename().string());
+  for (auto const& entry : fs::directory_iterator(directory.path))
+    names.push_back(entry.path().filename().string());
   std::sort(names.begin(), names.end());
-  for (std::size_t i = 0; i < names.size(); ++i) file.check("file-" + std::to_string(i + 1), names[i]);
+  for (std::size_t i = 0; i < names.size(); ++i)
+    file.check("file-" + std::to_string(i + 1), names[i]);
   std::ifstream in(directory.path + "/register.mark", std::ios::binary);
   std::stringstream mark;
   mark << in.rdbuf();
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden_wire_test.cpp
@@ -72,8 +72,10 @@
       T alone{};
       std::size_t at = 0;
       GoldenFields<T>::each(alone, [&](auto& other) {
-        if constexpr (std::is_same_v<std::decay_t<decltype(other)>, bool>) other = ++at == place;
-        else ++at;
+        if constexpr (std::is_same_v<std::decay_t<decltype(other)>, bool>)
+          other = ++at == place;
+        else
+          ++at;
       });
       file.check(label + "-only-" + std::to_string(place), to_hex(codec::pack(alone)));
     }
--- a/tests/input.hpp
+++ b/tests/input.hpp
@@ -9,11 +9,11 @@
 
 #include "allowance/allowance.hpp"
 #include "atlas/survey.hpp"
+#include "contact/contact.hpp"
 #include "duty/duty.hpp"
 #include "errand/heads.hpp"
 #include "gossip/roll.hpp"
 #include "keys/ask.hpp"
-#include "contact/contact.hpp"
 #include "register/acceptor.hpp"
 #include "register/pieces.hpp"
 #include "register/proposer.hpp"
@@ -52,7 +52,8 @@
   std::uint64_t below(std::uint64_t n) { return n == 0 ? 0 : rnd_() % n; }
   bool chance(int percent) { return below(100) < static_cast<std::uint64_t>(percent); }
   std::uint64_t odd_number() {
-    static std::uint64_t const odd[] = {0, 1, 127, 128, 255, 256, 65535, 65536, 0x7fffffff, 0x80000000, 0xffffffff, 0x100000000, ~0ULL >> 1, ~0ULL};
+    static std::uint64_t const odd[] = {0,     1,          127,        128,        255,         256,        65535,
+                                        65536, 0x7fffffff, 0x80000000, 0xffffffff, 0x100000000, ~0ULL >> 1, ~0ULL};
     return chance(60) ? odd[below(std::size(odd))] : rnd_() >> below(64);
   }
   double odd_double() {
@@ -62,7 +63,8 @@
   std::string text(std::size_t most) {
     static char const alphabet[] = "abz/.:-019 {}[]\",\\\r\n\t%\0\xff\xc3";
     std::string s(below(most + 1), 'x');
-    for (char& c : s) c = chance(50) ? 'a' : alphabet[below(sizeof alphabet - 1)];
+    for (char& c : s)
+      c = chance(50) ? 'a' : alphabet[below(sizeof alphabet - 1)];
     return s;
   }
   // One to three changes: a bit, a byte, a cut, a copy of a part, a run of large bytes, words of a list.
@@ -70,7 +72,9 @@
     for (std::uint64_t n = 1 + below(3); n > 0; --n) {
       std::size_t const at = below(s.size() + 1);
       switch (below(words.empty() ? 6 : 8)) {
-        case 0: if (at < s.size()) s[at] = static_cast<char>(s[at] ^ (1 << below(8))); break;
+        case 0:
+          if (at < s.size()) s[at] = static_cast<char>(s[at] ^ (1 << below(8)));
+          break;
         case 1: s.insert(at, 1, static_cast<char>(below(256))); break;
         case 2: s.erase(at); break;
         case 3: s.erase(at, 1 + below(9)); break;
@@ -84,15 +88,22 @@
   // Any value of any record.
   template <class T>
   void fill(T& x) {
-    if constexpr (codec::IsStrong<T>::value) fill(x.v);
+    if constexpr (codec::IsStrong<T>::value)
+      fill(x.v);
     else if constexpr (codec::IsVec<T>::value) {
       x.resize(below(4));
-      for (auto& e : x) fill(e);
-    } else if constexpr (codec::Record<T>) hana::for_each(hana::accessors<T>(), [&](auto const& a) { fill(hana::second(a)(x)); });
-    else if constexpr (std::is_same_v<T, std::string>) x = text(12);
-    else if constexpr (std::is_floating_point_v<T>) x = odd_double();
-    else if constexpr (std::is_same_v<T, bool>) x = chance(50);
-    else x = static_cast<T>(odd_number());
+      for (auto& e : x)
+        fill(e);
+    } else if constexpr (codec::Record<T>)
+      hana::for_each(hana::accessors<T>(), [&](auto const& a) { fill(hana::second(a)(x)); });
+    else if constexpr (std::is_same_v<T, std::string>)
+      x = text(12);
+    else if constexpr (std::is_floating_point_v<T>)
+      x = odd_double();
+    else if constexpr (std::is_same_v<T, bool>)
+      x = chance(50);
+    else
+      x = static_cast<T>(odd_number());
   }
   std::mt19937_64& rnd() { return rnd_; }
 
@@ -104,7 +115,8 @@
 bool all_finite(T const& x) {
   bool ok = true;
   if constexpr (codec::IsVec<T>::value) {
-    for (auto const& e : x) ok = ok && all_finite(e);
+    for (auto const& e : x)
+      ok = ok && all_finite(e);
   } else if constexpr (codec::Record<T>) {
     hana::for_each(hana::accessors<T>(), [&](auto const& a) { ok = ok && all_finite(hana::second(a)(x)); });
   } else if constexpr (std::is_floating_point_v<T>) {
@@ -114,14 +126,17 @@
 }
 
 // Every record that one process sends to another.
-using Records = hana::tuple<
-    hana::type<ViaAsk>, hana::type<ViaR>, hana::type<Hello>, hana::type<HelloR>, hana::type<SiteBeat>, hana::type<SiteBeatR>, hana::type<SiteNote>,
-    hana::type<ClockSaid>, hana::type<Feed>, hana::type<News>, hana::type<Digest>, hana::type<State>, hana::type<Delta>, hana::type<Prep>, hana::type<PrepR>,
-    hana::type<Acc>, hana::type<AccR>, hana::type<Commit>, hana::type<Pull>, hana::type<Member>, hana::type<Ask>, hana::type<AskR>, hana::type<Told>,
-    hana::type<Load>, hana::type<Claim>, hana::type<ClaimR>, hana::type<Release>, hana::type<Return>, hana::type<Fetch>, hana::type<FetchR>,
-    hana::type<Rebuild>, hana::type<RebuildR>, hana::type<Hold>, hana::type<HoldFor>, hana::type<HoldR>, hana::type<RollNote>,
-    hana::type<TallyNote>, hana::type<LoanAsk>, hana::type<LoanRet>, hana::type<SurveyAsk>, hana::type<Survey>, hana::type<DutyCmd>, hana::type<DrainSaid>,
-    hana::type<Piece>, hana::type<ProbeR>>;
+using Records =
+    hana::tuple<hana::type<ViaAsk>, hana::type<ViaR>, hana::type<Hello>, hana::type<HelloR>, hana::type<SiteBeat>,
+                hana::type<SiteBeatR>, hana::type<SiteNote>, hana::type<ClockSaid>, hana::type<Feed>, hana::type<News>,
+                hana::type<Digest>, hana::type<State>, hana::type<Delta>, hana::type<Prep>, hana::type<PrepR>,
+                hana::type<Acc>, hana::type<AccR>, hana::type<Commit>, hana::type<Pull>, hana::type<Member>,
+                hana::type<Ask>, hana::type<AskR>, hana::type<Told>, hana::type<Load>, hana::type<Claim>,
+                hana::type<ClaimR>, hana::type<Release>, hana::type<Return>, hana::type<Fetch>, hana::type<FetchR>,
+                hana::type<Rebuild>, hana::type<RebuildR>, hana::type<Hold>, hana::type<HoldFor>, hana::type<HoldR>,
+                hana::type<RollNote>, hana::type<TallyNote>, hana::type<LoanAsk>, hana::type<LoanRet>,
+                hana::type<SurveyAsk>, hana::type<Survey>, hana::type<DutyCmd>, hana::type<DrainSaid>,
+                hana::type<Piece>, hana::type<ProbeR>>;
 
 template <class R>
 void spoil_record(Spoiler& sp, Outcomes& o) {
@@ -141,7 +156,8 @@
       pb_wire_type_t wt{};
       u32 tag = 0;
       bool eof = false;
-      if (!pb_decode_tag(&in, &wt, &tag, &eof) || !pb_skip_field(&in, wt)) o.fault("a good record that can't be walked");
+      if (!pb_decode_tag(&in, &wt, &tag, &eof) || !pb_skip_field(&in, wt))
+        o.fault("a good record that can't be walked");
     }
     std::string const old = good.substr(0, good.size() - in.bytes_left);
     if (codec::pack(codec::unpack<R>(old)) != old) o.fault("an older record reads as something else");
@@ -157,7 +173,8 @@
 inline Outcomes records(std::uint64_t seed, std::uint64_t rounds) {
   Outcomes o;
   Spoiler sp(seed);
-  for (std::uint64_t i = 0; i < rounds; ++i) hana::for_each(Records{}, [&](auto t) { spoil_record<typename decltype(t)::type>(sp, o); });
+  for (std::uint64_t i = 0; i < rounds; ++i)
+    hana::for_each(Records{}, [&](auto t) { spoil_record<typename decltype(t)::type>(sp, o); });
   return o;
 }
 
@@ -191,7 +208,9 @@
     std::string all;
     for (std::uint64_t n = 1 + sp.below(5); n > 0; --n) {
       std::string b = sp.text(40);
-      if (sp.chance(30)) for (int k = 0; k < 9; ++k) b += b.substr(0, 4000);
+      if (sp.chance(30))
+        for (int k = 0; k < 9; ++k)
+          b += b.substr(0, 4000);
       Parcel const p = parcel(Kind::news, b);
       all += framed(p.kind, 7, p.body());
       bodies.push_back(b);
@@ -221,21 +240,45 @@
     } catch (std::exception const& e) {
       o.fault(std::string("thrown out of the frames: ") + e.what());
     }
-    std::size_t const before = static_cast<std::size_t>(std::count_if(ends.begin(), ends.end(), [&](std::size_t e) { return e <= at; }));
-    if (got.size() < before || !std::equal(bodies.begin(), bodies.begin() + static_cast<long>(before), got.begin())) o.fault("a letter before the spoiled one is not what was sent");
+    std::size_t const before =
+        static_cast<std::size_t>(std::count_if(ends.begin(), ends.end(), [&](std::size_t e) { return e <= at; }));
+    if (got.size() < before || !std::equal(bodies.begin(), bodies.begin() + static_cast<long>(before), got.begin()))
+      o.fault("a letter before the spoiled one is not what was sent");
   }
   return o;
 }
 
-std::string const good_amend = R"({"upsert":{"limits":{"headerBytes":16384,"bodyBytes":1048576,"headerDeadlineS":3,"idleTimeoutS":15,"generation":"00000007"},
+std::string const good_amend =
+    R"({"upsert":{"limits":{"headerBytes":16384,"bodyBytes":1048576,"headerDeadlineS":3,"idleTimeoutS":15,"generation":"00000007"},
 "sockets":[{"host":"a.example","policy":[{"name":"r1","kind":"idempotent","setpointS":0.3,"rank":2,"generation":"00000007","selector":{"pathPrefix":"/p/"},
 "actuation":{"split":[{"service":"s1","gain":90},{"service":"s2","gain":10}],"deadlineS":1.2,"maxTries":2,"homeRegions":[]}},
 {"name":"r2","kind":"keyed","rank":1,"generation":"00000007","selector":{"pathPrefix":"/p/q"},"actuation":{"service":"s1","deadlineS":1.2}}]}],
 "pools":[{"name":"s1","connLimit":110,"selfDedupes":false,"coldS":3.0,"coldRateS":9.9,"generation":"00000007"},{"name":"s2","generation":"00000008"}],
 "customers":[{"name":"ada","keys":["k1","k2"],"rank":1,"homeRegions":["n"],"allowance":{"rate":60,"burst":60,"reserve":0.3},"generation":"00000007"}]},
 "remove":{"routes":[{"name":"r9","generation":"00000009"}]}})";
-std::vector<std::string> const json_words{"null", "-1", "1e308", "1e999", "0.5", "4294967296", "9e15", "\"\"", "\"\\u0000\"", "{", "[", "}", "]", ",", "\"a\\r\\nb\"",
-                                          "[[[[[[[[", "true", "\"00000007\"", "\"name\":", "\"generation\":\"zzzzzzzz\"", "1e-320", "\"/\"", "\"\xff\""};
+std::vector<std::string> const json_words{"null",
+                                          "-1",
+                                          "1e308",
+                                          "1e999",
+                                          "0.5",
+                                          "4294967296",
+                                          "9e15",
+                                          "\"\"",
+                                          "\"\\u0000\"",
+                                          "{",
+                                          "[",
+                                          "}",
+                                          "]",
+                                          ",",
+                                          "\"a\\r\\nb\"",
+                                          "[[[[[[[[",
+                                          "true",
+                                          "\"00000007\"",
+                                          "\"name\":",
+                                          "\"generation\":\"zzzzzzzz\"",
+                                          "1e-320",
+                                          "\"/\"",
+                                          "\"\xff\""};
 
 inline std::string a_body(char kind) {
   auto const part = [](char const* from, char const* to) {
@@ -290,16 +333,38 @@
       render_read({{it.key, it}});
     });
     o.run<json::Fault>("heartbeat", [&] {
-      json::parse_as<schema::Heartbeat>(sp.spoil(R"({"service":"s1","address":"10.0.0.1:80","zone":"z","generation":"g","capacity":4,"state":"ready","coldLeftS":0.5,"callSeq":7})", json_words));
+      json::parse_as<schema::Heartbeat>(sp.spoil(
+          R"({"service":"s1","address":"10.0.0.1:80","zone":"z","generation":"g","capacity":4,"state":"ready","coldLeftS":0.5,"callSeq":7})",
+          json_words));
     });
   }
   return o;
 }
 
 std::string const good_settings =
-    "nodeName=n\nip=10.0.0.1\nzone=a\nregion=r\nzones.a=r\nzones.b=q\nbind.control=10.0.0.1:8146\ninnerPorts=7000,7010\nagentPort=7001\nseedAddrs=10.0.0.1:8146,10.0.0.2:8146\n"
-    "bootstrap=true\ntolerance.machines=1\nbeatPeriodS=1.5\nlimits.cpuShare=0.2\nbounds.ackBoundS=5\nbounds.ttl_max_s=5\nrollout.stages=0.3,1.0\nrollout.enough=0.6\ncloudApi.address=10.9.0.1:80\n";
-std::vector<std::string> const setting_words{"nan", "inf", "-1", "1e400", "0x10", "65536", "0", "", "=", "\n", ",", "1.5", " 1", "10.0.0.1", "10.0.0.1:0", "300.1.1.1:80", "true", "tolerance.machines=0.5\n", "ip=10.0.0.2\n"};
+    "nodeName=n\nip=10.0.0.1\nzone=a\nregion=r\nzones.a=r\nzones.b=q\nbind.control=10.0.0.1:8146\ninnerPorts=7000,"
+    "7010\nagentPort=7001\nseedAddrs=10.0.0.1:8146,10.0.0.2:8146\n"
+    "bootstrap=true\ntolerance.machines=1\nbeatPeriodS=1.5\nlimits.cpuShare=0.2\nbounds.ackBoundS=5\nbounds.ttl_max_s="
+    "5\nrollout.stages=0.3,1.0\nrollout.enough=0.6\ncloudApi.address=10.9.0.1:80\n";
+std::vector<std::string> const setting_words{"nan",
+                                             "inf",
+                                             "-1",
+                                             "1e400",
+                                             "0x10",
+                                             "65536",
+                                             "0",
+                                             "",
+                                             "=",
+                                             "\n",
+                                             ",",
+                                             "1.5",
+                                             " 1",
+                                             "10.0.0.1",
+                                             "10.0.0.1:0",
+                                             "300.1.1.1:80",
+                                             "true",
+                                             "tolerance.machines=0.5\n",
+                                             "ip=10.0.0.2\n"};
 
 inline Outcomes settings(std::uint64_t seed, std::uint64_t rounds) {
   Outcomes o;
@@ -310,13 +375,18 @@
     try {
       Settings const s = parse_settings(text);
       ++o.taken;
-      bool ok = is_ip(s.ip) && !s.zone.empty() && s.innerFirst >= 1 && s.innerLast > s.innerFirst && s.innerLast <= 65535 && s.toleranceMachines >= 0 && std::isfinite(s.toleranceMachines) && s.beatPeriodS >= 0.01 &&
-                s.bounds.ackBoundS >= 0.1 && s.bounds.ackBoundS <= 1e9 && s.bounds.ttlMaxS >= 0 && s.rollout.stages.back() == 1 && s.rollout.enough > 0 && s.rollout.giveUpS > 0 && s.region_of(s.zone) == s.region;
-      for (Addr const& a : s.seeds) ok = ok && is_ip(a.ip) && a.port >= 1 && a.port <= 65535;
+      bool ok = is_ip(s.ip) && !s.zone.empty() && s.innerFirst >= 1 && s.innerLast > s.innerFirst &&
+                s.innerLast <= 65535 && s.toleranceMachines >= 0 && std::isfinite(s.toleranceMachines) &&
+                s.beatPeriodS >= 0.01 && s.bounds.ackBoundS >= 0.1 && s.bounds.ackBoundS <= 1e9 &&
+                s.bounds.ttlMaxS >= 0 && s.rollout.stages.back() == 1 && s.rollout.enough > 0 &&
+                s.rollout.giveUpS > 0 && s.region_of(s.zone) == s.region;
+      for (Addr const& a : s.seeds)
+        ok = ok && is_ip(a.ip) && a.port >= 1 && a.port <= 65535;
       if (!ok) o.fault("taken: " + text);
     } catch (BadSetting const& e) {
       ++o.refused;
-      if (e.field.empty() || std::string(e.what()).find('\n') != std::string::npos) o.fault("no field, or more than a line: " + std::string(e.what()));
+      if (e.field.empty() || std::string(e.what()).find('\n') != std::string::npos)
+        o.fault("no field, or more than a line: " + std::string(e.what()));
     } catch (std::exception const& e) {
       o.fault(std::string("settings: ") + e.what());
     }
@@ -328,14 +398,39 @@
 inline Outcomes heads(std::uint64_t seed, std::uint64_t rounds) {
   Outcomes o;
   Spoiler sp(seed);
-  std::vector<std::string> const names{"Content-Length", "content-length", "Transfer-Encoding", "X-Attempt-Id", "x-attempt-id", "X-Server-Seal", "X-Not-Run", "Host", "Content-Length ", "A\rB", ""};
-  std::vector<std::string> const values{"4", "4", "a1", "a1", "a2", "chunked", "Chunked", "gzip, chunked", "-4", "+4", "4 ", "0x4", "99999999999999999999", "", "s"};
+  std::vector<std::string> const names{"Content-Length",
+                                       "content-length",
+                                       "Transfer-Encoding",
+                                       "X-Attempt-Id",
+                                       "x-attempt-id",
+                                       "X-Server-Seal",
+                                       "X-Not-Run",
+                                       "Host",
+                                       "Content-Length ",
+                                       "A\rB",
+                                       ""};
+  std::vector<std::string> const values{"4",
+                                        "4",
+                                        "a1",
+                                        "a1",
+                                        "a2",
+                                        "chunked",
+                                        "Chunked",
+                                        "gzip, chunked",
+                                        "-4",
+                                        "+4",
+                                        "4 ",
+                                        "0x4",
+                                        "99999999999999999999",
+                                        "",
+                                        "s"};
   int const codes[] = {200, 200, 204, 304, 500, 503, 421, 429, 99, 600, 0, -1};
   for (std::uint64_t i = 0; i < rounds; ++i) {
     Reply r;
     r.code = codes[sp.below(std::size(codes))];
     r.body = sp.below(6);
-    for (std::uint64_t n = sp.below(6); n > 0; --n) r.heads.emplace_back(names[sp.below(names.size())], values[sp.below(values.size())]);
+    for (std::uint64_t n = sp.below(6); n > 0; --n)
+      r.heads.emplace_back(names[sp.below(names.size())], values[sp.below(values.size())]);
     ++o.cases;
     End const e = judge(r, "a1");
     ++(e == End::broken ? o.refused : o.taken);
@@ -346,9 +441,12 @@
       ids += same_name(k, "X-Attempt-Id") && v == "a1" ? 1 : 0;
       others += same_name(k, "X-Attempt-Id") && v != "a1" ? 1 : 0;
     }
-    if (e != End::broken && (lengths + codings > 1 || others > 0 || r.code < 200 || r.code > 599)) o.fault("an ambiguous answer passed, code " + std::to_string(r.code));
+    if (e != End::broken && (lengths + codings > 1 || others > 0 || r.code < 200 || r.code > 599))
+      o.fault("an ambiguous answer passed, code " + std::to_string(r.code));
     if (e == End::whole && ids == 0) o.fault("an answer without an id passed");
-    if (well_formed(r.heads) && std::any_of(r.heads.begin(), r.heads.end(), [](auto const& h) { return h.first.empty() || h.first.find_first_of(" \r") != std::string::npos; }))
+    if (well_formed(r.heads) && std::any_of(r.heads.begin(), r.heads.end(), [](auto const& h) {
+          return h.first.empty() || h.first.find_first_of(" \r") != std::string::npos;
+        }))
       o.fault("a name that is no token passed");
   }
   return o;
@@ -369,7 +467,8 @@
   Proposer prop("10.0.0.1");
   for (std::uint64_t i = 0; i < rounds; ++i) {
     State const best = *acc.state();
-    auto const asks = prop.begin(best, [](State& s) { return ++s.to_fix > 0; }, 0, acc.state()->epoch);
+    auto const asks = prop.begin(
+        best, [](State& s) { return ++s.to_fix > 0; }, 0, acc.state()->epoch);
     if (asks.empty()) {
       o.fault("a value without a roster stands");
       break;
@@ -377,9 +476,7 @@
     Ballot const promised = acc.promised(), held = best.bal;
     PrepR pr;
     AccR ar;
-    o.run<codec::Malformed>("prep", [&] {
-      acc.prepare(codec::unpack<Prep>(sp.spoil(codec::pack(asks[0].prep))), pr);
-    });
+    o.run<codec::Malformed>("prep", [&] { acc.prepare(codec::unpack<Prep>(sp.spoil(codec::pack(asks[0].prep))), pr); });
     std::vector<Proposer::Out> accs;
     for (char const* ip : {"10.0.0.1", "10.0.0.2"})
       o.run<codec::Malformed>("prepR", [&] {
@@ -393,14 +490,17 @@
         accs.insert(accs.end(), v.begin(), v.end());
       });
     for (auto const& x : accs)
-      if (!x.is_prep) o.run<codec::Malformed>("acc", [&] {
+      if (!x.is_prep)
+        o.run<codec::Malformed>("acc", [&] {
           std::string const body = codec::pack(x.acc);
           acc.accept(codec::unpack<Acc>(sp.chance(70) ? sp.spoil(body) : body), ar);
         });
     if (acc.promised() < promised || acc.state()->bal < held) o.fault("a disk went back");
-    if (acc.state()->roster.empty() || acc.state()->epoch.v > acc.state()->bal.v) o.fault("a value that no round could write stands");
+    if (acc.state()->roster.empty() || acc.state()->epoch.v > acc.state()->bal.v)
+      o.fault("a value that no round could write stands");
     if (acc.promised() > last_ballot) o.fault("outbid for ever");
-    if (acc.promised().v >> 62 != 0) acc = Acceptor(Life(1), Ballot(), founding);  // far up: begin anew, for it must not overflow here either
+    if (acc.promised().v >> 62 != 0)
+      acc = Acceptor(Life(1), Ballot(), founding);  // far up: begin anew, for it must not overflow here either
     prop.abandon();
   }
   return o;
--- a/tests/input_soak.cpp
+++ b/tests/input_soak.cpp
@@ -26,7 +26,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  static option const opts[] = {{"seed", required_argument, nullptr, 's'}, {"rounds", required_argument, nullptr, 'r'}, {"help", no_argument, nullptr, 'h'}, {nullptr, 0, nullptr, 0}};
+  static option const opts[] = {{"seed", required_argument, nullptr, 's'},
+                                {"rounds", required_argument, nullptr, 'r'},
+                                {"help", no_argument, nullptr, 'h'},
+                                {nullptr, 0, nullptr, 0}};
   std::uint64_t seed = 1, rounds = 10;
   for (int o = 0; (o = getopt_long(argc, argv, "", opts, nullptr)) != -1;) {
     if (o == 'h') {
@@ -48,7 +51,8 @@
     std::uint64_t n;
   };
   bool bad = false;
-  for (Part const& p : {Part{"records", records, 200}, Part{"frames", frames, 2000}, Part{"amends", amends, 6000}, Part{"settings", settings, 8000}, Part{"heads", heads, 100000}, Part{"votes", votes, 5000}}) {
+  for (Part const& p : {Part{"records", records, 200}, Part{"frames", frames, 2000}, Part{"amends", amends, 6000},
+                        Part{"settings", settings, 8000}, Part{"heads", heads, 100000}, Part{"votes", votes, 5000}}) {
     Outcomes all;
     for (std::uint64_t i = 0; i < rounds; ++i) {
       Outcomes const o = p.run(seed + i, p.n);
@@ -56,13 +60,16 @@
       all.taken += o.taken;
       all.refused += o.refused;
       for (std::string const& f : o.faults) {
-        if (all.faults.size() < 20) std::fprintf(stderr, "input_soak: %s, seed %llu: %s\n", p.name, static_cast<unsigned long long>(seed + i), f.c_str());
+        if (all.faults.size() < 20)
+          std::fprintf(stderr, "input_soak: %s, seed %llu: %s\n", p.name, static_cast<unsigned long long>(seed + i),
+                       f.c_str());
         all.fault(f);
       }
     }
     bad = bad || !all.faults.empty();
-    std::printf("{\"part\":\"%s\",\"cases\":%llu,\"taken\":%llu,\"refused\":%llu,\"faults\":%zu}\n", p.name, static_cast<unsigned long long>(all.cases),
-                static_cast<unsigned long long>(all.taken), static_cast<unsigned long long>(all.refused), all.faults.size());
+    std::printf("{\"part\":\"%s\",\"cases\":%llu,\"taken\":%llu,\"refused\":%llu,\"faults\":%zu}\n", p.name,
+                static_cast<unsigned long long>(all.cases), static_cast<unsigned long long>(all.taken),
+                static_cast<unsigned long long>(all.refused), all.faults.size());
     std::fflush(stdout);
   }
   return bad ? 1 : 0;
--- a/tests/input_test.cpp
+++ b/tests/input_test.cpp
@@ -9,12 +9,15 @@
 namespace {
 // Both sides are reached, or the generator shows nothing.
 void hold(char const* what, Outcomes const& o) {
-  for (std::string const& f : o.faults) cr_expect(false, "%s: %s", what, f.c_str());
-  cr_assert(o.taken > 0 && o.refused > 0, "%s: %llu taken, %llu refused", what, static_cast<unsigned long long>(o.taken), static_cast<unsigned long long>(o.refused));
+  for (std::string const& f : o.faults)
+    cr_expect(false, "%s: %s", what, f.c_str());
+  cr_assert(o.taken > 0 && o.refused > 0, "%s: %llu taken, %llu refused", what,
+            static_cast<unsigned long long>(o.taken), static_cast<unsigned long long>(o.refused));
 }
 std::string framed_parcel(u8 kind, u32 length, std::string const& data) {
   std::string z(5, static_cast<char>(kind));
-  for (int i = 0; i < 4; ++i) z[static_cast<std::size_t>(i) + 1] = static_cast<char>(length >> (24 - 8 * i));
+  for (int i = 0; i < 4; ++i)
+    z[static_cast<std::size_t>(i) + 1] = static_cast<char>(length >> (24 - 8 * i));
   return framed(Kind::zipped, 0, z + data);
 }
 std::string why(std::string const& stream) {
@@ -30,7 +33,9 @@
   }
   return "";
 }
-void same(std::string const& got, char const* want, char const* what = "") { cr_assert(got == want, "%s instead of %s %s", got.c_str(), want, what); }
+void same(std::string const& got, char const* want, char const* what = "") {
+  cr_assert(got == want, "%s instead of %s %s", got.c_str(), want, what);
+}
 std::string with(std::string s, std::string const& a, std::string const& b) {
   auto const i = s.find(a);
   cr_assert(i != std::string::npos, "%s", a.c_str());
@@ -38,12 +43,24 @@
 }
 }  // namespace
 
-Test(input, spoiled_records_read_whole_or_not_at_all) { hold("records", records(1, 120)); }
-Test(input, spoiled_frames_end_the_stream_and_nothing_else) { hold("frames", frames(2, 1500)); }
-Test(input, spoiled_amends_are_refused_or_hold_everywhere) { hold("amends", amends(3, 4000)); }
-Test(input, spoiled_settings_are_refused_or_sane) { hold("settings", settings(4, 6000)); }
-Test(input, spoiled_heads_never_pass_for_an_answer) { hold("heads", heads(5, 40000)); }
-Test(input, spoiled_votes_take_nothing_back) { hold("votes", votes(6, 3000)); }
+Test(input, spoiled_records_read_whole_or_not_at_all) {
+  hold("records", records(1, 120));
+}
+Test(input, spoiled_frames_end_the_stream_and_nothing_else) {
+  hold("frames", frames(2, 1500));
+}
+Test(input, spoiled_amends_are_refused_or_hold_everywhere) {
+  hold("amends", amends(3, 4000));
+}
+Test(input, spoiled_settings_are_refused_or_sane) {
+  hold("settings", settings(4, 6000));
+}
+Test(input, spoiled_heads_never_pass_for_an_answer) {
+  hold("heads", heads(5, 40000));
+}
+Test(input, spoiled_votes_take_nothing_back) {
+  hold("votes", votes(6, 3000));
+}
 
 Test(input, a_parcel_makes_no_more_room_than_its_bytes_can_fill) {
   same(why(framed_parcel(7, 64u << 20, "x")), "parcel too large in a letter of kind 7");
@@ -74,7 +91,8 @@
   h.ip = "10.0.0.1";
   h.accepted = Ballot(5);
   std::string const whole = codec::pack(h);
-  Hello const old = codec::unpack<Hello>(std::string_view(whole).substr(0, whole.size() - 2));  // its last field, of two bytes
+  Hello const old =
+      codec::unpack<Hello>(std::string_view(whole).substr(0, whole.size() - 2));  // its last field, of two bytes
   cr_assert(old.role == 1 && old.ip == h.ip && old.accepted == Ballot());
   Delta d;
   d.bal = Ballot(9);
@@ -84,8 +102,10 @@
   s.bal = Ballot(9);
   cr_assert_throw(read_state(codec::pack(s)), codec::Malformed);
   cr_assert_throw(read_state(""), codec::Malformed);
-  cr_assert_throw(codec::unpack<Hello>(std::string("\x08\xff\xff\xff\xff\x1f", 6)), codec::Malformed, "a role that does not fit");
-  cr_assert_throw(codec::unpack<ClockSaid>(std::string("\x09\0\0\0\0\0\0\xf0\x7f", 9)), codec::Malformed, "an infinite time");
+  cr_assert_throw(codec::unpack<Hello>(std::string("\x08\xff\xff\xff\xff\x1f", 6)), codec::Malformed,
+                  "a role that does not fit");
+  cr_assert_throw(codec::unpack<ClockSaid>(std::string("\x09\0\0\0\0\0\0\xf0\x7f", 9)), codec::Malformed,
+                  "an infinite time");
   cr_assert_throw(codec::unpack<Hello>(std::string("\0\x01", 2)), codec::Malformed, "field 0");
 }
 
@@ -114,32 +134,51 @@
   same(fault_of(good_amend), "");
   for (auto const& [from, to, field] : std::vector<std::tuple<char const*, char const*, char const*>>{
            {"\"rank\":2", "\"rank\":4294967296", "upsert.sockets[0].policy[0].rank: out of range"},
-           {"\"maxTries\":2", "\"maxTries\":4294967297", "upsert.sockets[0].policy[0].actuation.maxTries: out of range"},
-           {"\"deadlineS\":1.2", "\"deadlineS\":1e300", "upsert.sockets[0].policy[0].actuation.deadlineS: out of range"},
+           {"\"maxTries\":2", "\"maxTries\":4294967297",
+            "upsert.sockets[0].policy[0].actuation.maxTries: out of range"},
+           {"\"deadlineS\":1.2", "\"deadlineS\":1e300",
+            "upsert.sockets[0].policy[0].actuation.deadlineS: out of range"},
            {"\"idleTimeoutS\":15", "\"idleTimeoutS\":-5", "upsert.limits.idleTimeoutS: negative"},
            {"\"idleTimeoutS\":15", "\"idleTimeoutS\":0", "upsert.limits.idleTimeoutS: wants more than 0"},
            {"\"coldS\":3.0", "\"coldS\":-3", "upsert.pools[0].coldS: negative"},
-           {"\"gain\":90},", "\"gain\":1.7e308},{\"service\":\"s1\",\"gain\":1.7e308},", "upsert.sockets[0].policy[0].actuation.split.gain: out of range"},
+           {"\"gain\":90},", "\"gain\":1.7e308},{\"service\":\"s1\",\"gain\":1.7e308},",
+            "upsert.sockets[0].policy[0].actuation.split.gain: out of range"},
            {"\"name\":\"r1\"", "\"name\":\"r1\\u0000\"", "upsert.sockets[0].policy[0].name: holds a control character"},
            {"\"name\":\"ada\"", "\"name\":\"ada\\r\\nX-Tenant: bob\"", "name: holds a control character"},
-           {"\"generation\":\"00000007\"", "\"generation\":\"00000007\\u0000\"", "upsert.limits.generation: wants eight hexadecimal digits"},
+           {"\"generation\":\"00000007\"", "\"generation\":\"00000007\\u0000\"",
+            "upsert.limits.generation: wants eight hexadecimal digits"},
            {"\"rate\":60", "\"rate\":1e-320", "allowance.rate: out of range"}}) {
     std::string const f = fault_of(with(good_amend, from, to));
-    cr_assert(f.size() >= std::string(field).size() && f.compare(f.size() - std::string(field).size(), std::string::npos, field) == 0, "%s: %s", to, f.c_str());
+    cr_assert(f.size() >= std::string(field).size() &&
+                  f.compare(f.size() - std::string(field).size(), std::string::npos, field) == 0,
+              "%s: %s", to, f.c_str());
   }
   // Not by the square of what was sent.
   std::string many = "{\"remove\":{\"routes\":[";
-  for (int i = 0; i < 100000; ++i) many += std::string(i > 0 ? "," : "") + "{\"name\":\"r" + std::to_string(i) + "\",\"generation\":\"00000001\"}";
+  for (int i = 0; i < 100000; ++i)
+    many += std::string(i > 0 ? "," : "") + "{\"name\":\"r" + std::to_string(i) + "\",\"generation\":\"00000001\"}";
   cr_assert_eq(read_amend(many + "]}}").items.size(), 100000u);
 }
 
 Test(input, settings_that_would_harm_name_their_field) {
   for (auto const& [from, to, field] : std::vector<std::tuple<char const*, char const*, char const*>>{
-           {"ip=10.0.0.1\n", "ip=10.0.0.1\nip=10.0.0.2\n", "ip"}, {"region=r\n", "region=q\n", "region"}, {"agentPort=7001", "agentPort=7001.5", "agentPort"},
-           {"7000,7010", "7000,70000", "innerPorts"}, {"7000,7010", "7010,7000", "innerPorts"}, {"7000,7010", "0x10,7000", "innerPorts"}, {"machines=1", "machines=0.5", "tolerance.machines"},
-           {"machines=1", "machines=nan", "tolerance.machines"}, {"machines=1", "machines=-1", "tolerance.machines"}, {"ackBoundS=5", "ackBoundS=inf", "bounds.ackBoundS"},
-           {"ackBoundS=5", "ackBoundS=", "bounds.ackBoundS"}, {"ackBoundS=5", "ackBoundS=1e10", "bounds.ackBoundS"}, {"10.0.0.2:8146", "10.0.0.2:99999", "seedAddrs"},
-           {"10.0.0.2:8146", "10.0.0.2: 80", "seedAddrs"}, {"control=10.0.0.1", "control=10.0.1", "bind.control"}, {"zone=a\n", "zone\n", "settings"}, {"nodeName=n", "nodeName=n\t", "nodeName"}}) {
+           {"ip=10.0.0.1\n", "ip=10.0.0.1\nip=10.0.0.2\n", "ip"},
+           {"region=r\n", "region=q\n", "region"},
+           {"agentPort=7001", "agentPort=7001.5", "agentPort"},
+           {"7000,7010", "7000,70000", "innerPorts"},
+           {"7000,7010", "7010,7000", "innerPorts"},
+           {"7000,7010", "0x10,7000", "innerPorts"},
+           {"machines=1", "machines=0.5", "tolerance.machines"},
+           {"machines=1", "machines=nan", "tolerance.machines"},
+           {"machines=1", "machines=-1", "tolerance.machines"},
+           {"ackBoundS=5", "ackBoundS=inf", "bounds.ackBoundS"},
+           {"ackBoundS=5", "ackBoundS=", "bounds.ackBoundS"},
+           {"ackBoundS=5", "ackBoundS=1e10", "bounds.ackBoundS"},
+           {"10.0.0.2:8146", "10.0.0.2:99999", "seedAddrs"},
+           {"10.0.0.2:8146", "10.0.0.2: 80", "seedAddrs"},
+           {"control=10.0.0.1", "control=10.0.1", "bind.control"},
+           {"zone=a\n", "zone\n", "settings"},
+           {"nodeName=n", "nodeName=n\t", "nodeName"}}) {
     try {
       parse_settings(with(good_settings, from, to));
       cr_assert(false, "%s was taken", to);
@@ -147,6 +186,7 @@
       cr_assert_str_eq(e.field.c_str(), field);
     }
   }
-  Settings const s = parse_settings(good_settings + "seedAddrs=10.0.0.1:8146,10.0.0.2:8146\nbounds.unheardOf=nan\nunheardOf=\t\n");
+  Settings const s =
+      parse_settings(good_settings + "seedAddrs=10.0.0.1:8146,10.0.0.2:8146\nbounds.unheardOf=nan\nunheardOf=\t\n");
   cr_assert_eq(s.seeds.size(), 2u, "the same said twice, and what nobody knows, does no harm");
 }
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -71,7 +71,8 @@
   cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == Say::unready);
   n.seal("k", 7, 0);
   n.set_whole();
-  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == Say::held, "what was copied is not granted, not even to its holder");
+  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == Say::held,
+            "what was copied is not granted, not even to its holder");
 }
 
 Test(keys, says_of_another_roster_are_no_votes) {
@@ -113,10 +114,12 @@
     };
     std::vector<Want> bag;
     for (u64 h : {7, 8})
-      for (int i = 0; i < n; ++i) bag.push_back({h, i, 1});
+      for (int i = 0; i < n; ++i)
+        bag.push_back({h, i, 1});
     std::shuffle(bag.begin(), bag.end(), rnd);
     std::map<u64, Quest> q;
-    for (u64 h : {7, 8}) q.emplace(h, Quest(static_cast<std::size_t>(n), Epoch(1)));
+    for (u64 h : {7, 8})
+      q.emplace(h, Quest(static_cast<std::size_t>(n), Epoch(1)));
     std::set<u64> won;
     int const wiped = static_cast<int>(rnd() % static_cast<unsigned>(n));
     std::size_t const when = rnd() % bag.size();
@@ -125,7 +128,8 @@
         // Every other disk takes the new roster, then the new disk is filled.
         d[static_cast<std::size_t>(wiped)] = Ledger(false);
         life[static_cast<std::size_t>(wiped)] = Life(99);
-        for (auto& e : epoch) e = 2;
+        for (auto& e : epoch)
+          e = 2;
         std::vector<int> others;
         for (int k = 0; k < n; ++k)
           if (k != wiped) others.push_back(k);
@@ -139,7 +143,8 @@
           if (won.count(h) == 0) {
             q.erase(h);
             q.emplace(h, Quest(static_cast<std::size_t>(n), Epoch(2)));
-            for (int k = 0; k < n; ++k) bag.push_back({h, k, 2});
+            for (int k = 0; k < n; ++k)
+              bag.push_back({h, k, 2});
           }
         std::shuffle(bag.begin() + static_cast<long>(i) + 1, bag.end(), rnd);
       }
@@ -149,7 +154,8 @@
       ClaimR r{};
       Claim const c = claim("k", w.holder, w.epoch);
       if (d[to].claim(c, Epoch(epoch[to]), 0, r) == Say::granted) d[to].written("k", w.holder, true);
-      if (q.at(w.holder).epoch() == Epoch(w.epoch) && q.at(w.holder).hear(std::to_string(w.to) + "/" + std::to_string(life[to].v), r) == Quest::End::granted)
+      if (q.at(w.holder).epoch() == Epoch(w.epoch) &&
+          q.at(w.holder).hear(std::to_string(w.to) + "/" + std::to_string(life[to].v), r) == Quest::End::granted)
         won.insert(w.holder);
     }
     cr_assert(won.size() <= 1, "seed %u: both hold the key", seed);
--- a/tests/manifest_test.cpp
+++ b/tests/manifest_test.cpp
@@ -7,7 +7,8 @@
 using namespace dockbend;
 
 namespace {
-std::string const whole = R"({"upsert":{"limits":{"headerBytes":16384,"bodyBytes":67108864,"headerDeadlineS":3,"idleTimeoutS":15,"generation":"00000007"},
+std::string const whole =
+    R"({"upsert":{"limits":{"headerBytes":16384,"bodyBytes":67108864,"headerDeadlineS":3,"idleTimeoutS":15,"generation":"00000007"},
 "sockets":[{"host":"a.example","policy":[{"name":"r1","kind":"idempotent","setpointS":0.3,"rank":2,"generation":"00000007","selector":{"pathPrefix":"/p/"},
 "actuation":{"split":[{"service":"s1","gain":90},{"service":"s2","gain":10}],"deadlineS":1.2,"maxTries":2,"homeRegions":[]}},
 {"name":"r2","kind":"keyed","setpointS":0.3,"rank":1,"generation":"00000007","selector":{"pathPrefix":"/p/q/"},
@@ -54,8 +55,10 @@
       {"\"deadlineS\":1.2", "\"deadlineS\":\"1\"", "deadlineS"},
       {"\"pathPrefix\":\"/p/\"", "\"pathPrefix\":\"p/\"", "pathPrefix"},
       {"\"host\":\"a.example\"", "\"host\":\"\"", "host"},
-      {"\"service\":\"s1\",\"gain\":90", "\"service\":\"zz\",\"gain\":90", "unknown: upsert.sockets[0].policy[0].actuation.split"},
-      {"\"service\":\"s1\",\"deadlineS\"", "\"service\":\"zz\",\"deadlineS\"", "unknown: upsert.sockets[0].policy[1].actuation.service"},
+      {"\"service\":\"s1\",\"gain\":90", "\"service\":\"zz\",\"gain\":90",
+       "unknown: upsert.sockets[0].policy[0].actuation.split"},
+      {"\"service\":\"s1\",\"deadlineS\"", "\"service\":\"zz\",\"deadlineS\"",
+       "unknown: upsert.sockets[0].policy[1].actuation.service"},
       {"\"kind\":\"keyed\"", "\"kind\":\"keyd\"", "kind"},
       {"\"generation\":\"00000007\",\"selector\"", "\"generation\":\"7\",\"selector\"", "generation"},
       {"\"generation\":\"00000007\",\"selector\"", "\"generation\":7,\"selector\"", "generation"},
@@ -73,7 +76,8 @@
 }
 
 Test(manifest, cut_short_anywhere_is_refused) {
-  for (std::size_t n = 0; n < whole.size(); n += 7) cr_assert(!fault_of(whole.substr(0, n)).empty(), "cut at %zu", n);
+  for (std::size_t n = 0; n < whole.size(); n += 7)
+    cr_assert(!fault_of(whole.substr(0, n)).empty(), "cut at %zu", n);
   cr_assert(fault_of(whole).empty());
 }
 
@@ -87,7 +91,8 @@
   cr_assert(join(items, read_amend(whole), f) == Joined::same, "an older upsert doesn't bring it back");
   cr_assert(items.at("r/r1").gone);
   cr_assert(Compiled::from({items.at("r/r1")}).lanes() == 0);
-  cr_assert(call(R"({"remove":{"routes":[{"name":"r2","generation":"00000007"}]}})") == Joined::clash, "one generation, two bodies");
+  cr_assert(call(R"({"remove":{"routes":[{"name":"r2","generation":"00000007"}]}})") == Joined::clash,
+            "one generation, two bodies");
   cr_assert_not(items.at("r/r2").gone);
 }
 
@@ -96,7 +101,8 @@
   std::string f;
   join(items, read_amend(whole), f);
   std::vector<Item> v;
-  for (auto& [k, i] : items) v.push_back(i);
+  for (auto& [k, i] : items)
+    v.push_back(i);
   Compiled const c = Compiled::from(v);
   cr_assert_str_eq(c.find("a.example", "/p/q/x")->name.c_str(), "r2");
   cr_assert_str_eq(c.find("a.example", "/p/x")->name.c_str(), "r1");
@@ -124,14 +130,17 @@
 }
 
 namespace {
-std::string const partners = R"({"upsert":{"customers":[{"name":"ada","keys":["k1","k2"],"rank":1,"homeRegions":["north"],"generation":"00000005"},
+std::string const partners =
+    R"({"upsert":{"customers":[{"name":"ada","keys":["k1","k2"],"rank":1,"homeRegions":["north"],"generation":"00000005"},
  {"name":"bob","keys":["k3"],"allowance":{"rate":10,"burst":20,"reserve":0.2},"generation":"00000005"}]}})";
 Compiled compiled(std::vector<std::string> const& calls) {
   std::map<std::string, Item> items;
   std::string f;
-  for (auto const& c : calls) join(items, read_amend(c), f);
+  for (auto const& c : calls)
+    join(items, read_amend(c), f);
   Compiled out;
-  for (auto const& [k, i] : items) out.put(i);
+  for (auto const& [k, i] : items)
+    out.put(i);
   return out;
 }
 }  // namespace
@@ -141,12 +150,15 @@
   cr_assert_str_eq(c.tenant_of("k2")->name.c_str(), "ada");
   cr_assert_eq(*c.tenant_of("k1")->rank, 1);
   cr_assert(c.tenant_of("k4") == nullptr);
-  Compiled const d = compiled({partners, R"({"upsert":{"customers":[{"name":"ada","keys":["k2","k9"],"generation":"00000007"}]},"remove":{"customers":[{"name":"bob","generation":"00000006"}]}})"});
+  Compiled const d = compiled(
+      {partners,
+       R"({"upsert":{"customers":[{"name":"ada","keys":["k2","k9"],"generation":"00000007"}]},"remove":{"customers":[{"name":"bob","generation":"00000006"}]}})"});
   cr_assert(d.tenant_of("k1") == nullptr, "taken away");
   cr_assert(d.tenant_of("k9") != nullptr);
   cr_assert(d.tenant_of("k3") == nullptr, "dropped with its partner");
   // A key passed on: the newer item holds it, whichever came first.
-  Compiled const e = compiled({R"({"upsert":{"customers":[{"name":"bob","keys":["k1"],"generation":"00000008"}]}})", partners});
+  Compiled const e =
+      compiled({R"({"upsert":{"customers":[{"name":"bob","keys":["k1"],"generation":"00000008"}]}})", partners});
   cr_assert_str_eq(e.tenant_of("k1")->name.c_str(), "bob");
 }
 
@@ -155,9 +167,11 @@
   struct Case {
     char const *from, *to, *named;
   };
-  for (Case const c : {Case{"\"rate\":10", "\"rate\":0", "rate"}, Case{"\"rate\":10", "\"rate\":-1", "rate"}, Case{"\"rate\":10", "\"rate\":\"x\"", "rate"},
-                       Case{"\"burst\":20", "\"burst\":0", "burst"}, Case{"\"burst\":20", "\"burst\":null", "burst"}, Case{"\"reserve\":0.2", "\"reserve\":1", "reserve"},
-                       Case{"[\"k3\"]", "[\"k1\"]", "keys"}, Case{"[\"k3\"]", "\"k3\"", "keys"}}) {
+  for (Case const c :
+       {Case{"\"rate\":10", "\"rate\":0", "rate"}, Case{"\"rate\":10", "\"rate\":-1", "rate"},
+        Case{"\"rate\":10", "\"rate\":\"x\"", "rate"}, Case{"\"burst\":20", "\"burst\":0", "burst"},
+        Case{"\"burst\":20", "\"burst\":null", "burst"}, Case{"\"reserve\":0.2", "\"reserve\":1", "reserve"},
+        Case{"[\"k3\"]", "[\"k1\"]", "keys"}, Case{"[\"k3\"]", "\"k3\"", "keys"}}) {
     std::string s = partners;
     s.replace(s.find(c.from), std::string(c.from).size(), c.to);
     try {
@@ -182,15 +196,20 @@
     it.gen = Gen(1 + next64(seed) % 50);
     it.gone = next64(seed) % 4 == 0;
     if (!it.gone)
-      it.body = "{\"host\":\"h.example\",\"policy\":{\"name\":\"r" + std::to_string(x % 17) + "\",\"kind\":\"idempotent\",\"generation\":\"" + json::gen_str(it.gen) +
-                "\",\"rank\":" + std::to_string(x % 3) + ",\"selector\":{\"pathPrefix\":\"/p" + std::to_string(next64(seed) % 6) +
-                (x % 5 == 0 ? "\"" : "/\"") + "},\"actuation\":{\"service\":\"s\",\"deadlineS\":1}}}";
+      it.body = "{\"host\":\"h.example\",\"policy\":{\"name\":\"r" + std::to_string(x % 17) +
+                "\",\"kind\":\"idempotent\",\"generation\":\"" + json::gen_str(it.gen) +
+                "\",\"rank\":" + std::to_string(x % 3) + ",\"selector\":{\"pathPrefix\":\"/p" +
+                std::to_string(next64(seed) % 6) + (x % 5 == 0 ? "\"" : "/\"") +
+                "},\"actuation\":{\"service\":\"s\",\"deadlineS\":1}}}";
     auto const cur = items.find(it.key);
-    if (cur == items.end() || it.gen > cur->second.gen) items[it.key] = it;
-    else continue;
+    if (cur == items.end() || it.gen > cur->second.gen)
+      items[it.key] = it;
+    else
+      continue;
     c.put(it);
     std::vector<Item> v;
-    for (auto const& [k, y] : items) v.push_back(y);
+    for (auto const& [k, y] : items)
+      v.push_back(y);
     Compiled const whole = Compiled::from(v);
     cr_assert_eq(c.lanes(), whole.lanes());
     cr_assert_eq(c.lowest_rank(), whole.lowest_rank());
--- a/tests/member_test.cpp
+++ b/tests/member_test.cpp
@@ -89,7 +89,8 @@
     for (bool const ruled : {true, false}) {
       State s = roster_of(std::string("abcdefghi").substr(0, n));
       std::map<std::string, Ledger> disks;
-      for (Member const& m : s.roster) disks.emplace(m.ip, Ledger(true));
+      for (Member const& m : s.roster)
+        disks.emplace(m.ip, Ledger(true));
       Quest q(n, s.epoch);
       for (std::size_t i = 0; i < s.majority(); ++i) {
         Claim c;
@@ -116,8 +117,10 @@
         disks.at(m.ip).claim(c, s.epoch, 0, r);
         if (e == Quest::End::open) e = p.hear(m.ip, r);
       }
-      if (ruled) cr_assert_neq(e, Quest::End::granted, "of %zu", n);
-      else cr_assert_eq(e, Quest::End::granted, "%zu: the case shows nothing", n);
+      if (ruled)
+        cr_assert_neq(e, Quest::End::granted, "of %zu", n);
+      else
+        cr_assert_eq(e, Quest::End::granted, "%zu: the case shows nothing", n);
     }
   }
 }
@@ -150,7 +153,8 @@
   Net n(1, 3);
   for (auto& [ip, x] : n.nodes) {
     State s = *x.committed;
-    for (Member& m : s.roster) m.whole = true;
+    for (Member& m : s.roster)
+      m.whole = true;
     x.committed = s;
     x.acc = std::make_unique<Acceptor>(Life(1), Ballot(), s);
   }
--- a/tests/net.hpp
+++ b/tests/net.hpp
@@ -45,8 +45,10 @@
 class Net {
  public:
   explicit Net(unsigned seed, int founders) : rnd(seed) {
-    for (int i = 0; i < founders; ++i) founding.roster.push_back(member(name(i), Life(1)));
-    for (int i = 0; i < founders; ++i) add(i, Life(1), true);
+    for (int i = 0; i < founders; ++i)
+      founding.roster.push_back(member(name(i), Life(1)));
+    for (int i = 0; i < founders; ++i)
+      add(i, Life(1), true);
   }
   static std::string name(int i) { return "10.0.0." + std::to_string(i + 1); }
 
@@ -64,7 +66,8 @@
   }
 
   void send(Node& n, std::vector<Proposer::Out> const& v) {
-    for (auto const& o : v) bag.push_back(Msg{n.ip, o.ip, o.is_prep ? 0 : 2, o.is_prep ? codec::pack(o.prep) : codec::pack(o.acc)});
+    for (auto const& o : v)
+      bag.push_back(Msg{n.ip, o.ip, o.is_prep ? 0 : 2, o.is_prep ? codec::pack(o.prep) : codec::pack(o.acc)});
   }
 
   void propose(std::string const& ip, Proposer::Change c) {
@@ -185,7 +188,8 @@
     std::string f;
     if (join(m, a, f) != Joined::changed) return false;
     s.items.clear();
-    for (auto& [k, i] : m) s.items.push_back(i);
+    for (auto& [k, i] : m)
+      s.items.push_back(i);
     return true;
   };
 }
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -7,30 +7,41 @@
 using namespace dockbend::provenance;
 
 namespace {
-std::string route(std::string const& gen, std::string const& service, std::string const& more = "", std::string const& prefix = "/p/") {
-  return R"({"upsert":{"sockets":[{"host":"a","policy":[{"name":"r","kind":"keyed","generation":")" + gen + R"(","selector":{"pathPrefix":")" + prefix +
-         R"("},"actuation":{"service":")" + service + R"(","deadlineS":1.0}}]}])" + more + "}}";
+std::string route(std::string const& gen, std::string const& service, std::string const& more = "",
+                  std::string const& prefix = "/p/") {
+  return R"({"upsert":{"sockets":[{"host":"a","policy":[{"name":"r","kind":"keyed","generation":")" + gen +
+         R"(","selector":{"pathPrefix":")" + prefix + R"("},"actuation":{"service":")" + service +
+         R"(","deadlineS":1.0}}]}])" + more + "}}";
+}
+std::string pool(std::string const& gen, std::string const& name = "s") {
+  return R"(,"pools":[{"name":")" + name + R"(","generation":")" + gen + R"("}])";
+}
+Ruling amend(State& s, std::string const& body) {
+  return Amend(read_amend(body), &s).apply(s).ruling;
+}
+std::string drop(std::string const& what, std::string const& gen) {
+  return R"({"remove":{")" + what + R"(":[{"name":")" + what.substr(0, 1) + R"(","generation":")" + gen + R"("}]}})";
 }
-std::string pool(std::string const& gen, std::string const& name = "s") { return R"(,"pools":[{"name":")" + name + R"(","generation":")" + gen + R"("}])"; }
-Ruling amend(State& s, std::string const& body) { return Amend(read_amend(body), &s).apply(s).ruling; }
-std::string drop(std::string const& what, std::string const& gen) { return R"({"remove":{")" + what + R"(":[{"name":")" + what.substr(0, 1) + R"(","generation":")" + gen + R"("}]}})"; }
 }  // namespace
 
 // Whatever came between, a change that was taken is taken again, and changes nothing.
 Test(orders, what_was_taken_is_never_refused_later) {
   std::string const first = route("00000005", "s", pool("00000005"));
-  for (auto const& between : std::vector<std::vector<std::string>>{{},
-                                                                  {route("00000007", "s")},
-                                                                  {drop("services", "00000006")},
-                                                                  {drop("routes", "00000006")},
-                                                                  {drop("routes", "00000006"), drop("services", "00000006")},
-                                                                  {drop("services", "00000006"), route("00000009", "t", pool("00000009", "t"))}}) {
+  for (auto const& between : std::vector<std::vector<std::string>>{
+           {},
+           {route("00000007", "s")},
+           {drop("services", "00000006")},
+           {drop("routes", "00000006")},
+           {drop("routes", "00000006"), drop("services", "00000006")},
+           {drop("services", "00000006"), route("00000009", "t", pool("00000009", "t"))}}) {
     State s;
     cr_assert(amend(s, first) == Ruling::taken);
-    for (std::string const& b : between) cr_assert(amend(s, b) == Ruling::taken);
+    for (std::string const& b : between)
+      cr_assert(amend(s, b) == Ruling::taken);
     std::string const was = codec::pack(s);
     cr_assert(amend(s, first) == Ruling::taken);
-    for (std::string const& b : between) cr_assert(amend(s, b) == Ruling::taken);
+    for (std::string const& b : between)
+      cr_assert(amend(s, b) == Ruling::taken);
     cr_assert(codec::pack(s) == was, "a repeat changes nothing");
   }
 }
@@ -42,7 +53,8 @@
   std::string const was = codec::pack(s);
   cr_assert(amend(s, route("00000005", "s", pool("00000009", "new"), "/q/")) == Ruling::clash);
   cr_assert(amend(s, route("00000009", "never", pool("00000009", "new"))) == Ruling::invalid);
-  cr_assert(amend(s, route("00000004", "never", pool("00000009", "new"))) == Ruling::invalid, "older, and nobody ever set it");
+  cr_assert(amend(s, route("00000004", "never", pool("00000009", "new"))) == Ruling::invalid,
+            "older, and nobody ever set it");
   cr_assert(codec::pack(s) == was);
   cr_assert(amend(s, drop("services", "00000006")) == Ruling::taken);
   cr_assert(amend(s, route("00000007", "s")) == Ruling::invalid, "a new route to a service that was dropped");
@@ -50,11 +62,14 @@
 
 Test(orders, one_body_however_it_is_spelled) {
   State s;
-  cr_assert(amend(s, R"({"upsert":{"pools":[{"name":"s","connLimit":10,"coldS":1.0,"generation":"0000000c"}]}})") == Ruling::taken);
+  cr_assert(amend(s, R"({"upsert":{"pools":[{"name":"s","connLimit":10,"coldS":1.0,"generation":"0000000c"}]}})") ==
+            Ruling::taken);
   std::string const was = codec::pack(s);
-  cr_assert(amend(s, R"({ "upsert": {"pools": [{"generation":"0000000C","coldS":1,"name":"s","connLimit":10.0}]}})") == Ruling::taken);
+  cr_assert(amend(s, R"({ "upsert": {"pools": [{"generation":"0000000C","coldS":1,"name":"s","connLimit":10.0}]}})") ==
+            Ruling::taken);
   cr_assert(codec::pack(s) == was, "the first spelling stands");
-  cr_assert(amend(s, R"({"upsert":{"pools":[{"name":"s","connLimit":11,"coldS":1.0,"generation":"0000000c"}]}})") == Ruling::clash);
+  cr_assert(amend(s, R"({"upsert":{"pools":[{"name":"s","connLimit":11,"coldS":1.0,"generation":"0000000c"}]}})") ==
+            Ruling::clash);
   cr_assert(amend(s, R"({"upsert":{"pools":[{"name":"s","connLimit":10,"generation":"0000000c"}]}})") == Ruling::clash);
 }
 
@@ -70,7 +85,8 @@
   cr_assert_not(s.evacs[0].on);
   cr_assert(Evacuate("z", true, &s).apply(s).changed, "a new order");
   cr_assert(Evacuate("q", true, &s, false).apply(s).ruling == Ruling::unknown);
-  cr_assert(Evacuate("z", true, &s, false).apply(s).ruling == Ruling::taken, "it was taken once, whatever our settings say");
+  cr_assert(Evacuate("z", true, &s, false).apply(s).ruling == Ruling::taken,
+            "it was taken once, whatever our settings say");
 }
 
 // A call waits at a node that is cut off; another node refuses it, and then what stood in
@@ -80,7 +96,8 @@
   cr_assert(amend(s, route("00000005", "s", pool("00000005"))) == Ruling::taken);
   State const early = s;
   auto const late = [&](std::string const& body) { return Amend(read_amend(body), &early).apply(s).ruling; };
-  std::string const clashes = route("00000006", "s", pool("00000009", "new"), "/q/"), no_service = route("00000009", "t");
+  std::string const clashes = route("00000006", "s", pool("00000009", "new"), "/q/"),
+                    no_service = route("00000009", "t");
   cr_assert(amend(s, route("00000006", "s")) == Ruling::taken);
   cr_assert(late(clashes) == Ruling::clash);
   cr_assert(late(no_service) == Ruling::invalid);
@@ -109,7 +126,8 @@
   Order other = o;
   other.headroom = 0.5;
   cr_assert(StartPass(other, &s).apply(s).ruling == Ruling::clash);
-  CommandPass const pause(7, PassOrder::pause, "", &s), early(7, PassOrder::abort, "", &none), back(7, PassOrder::take_back, "a", &s);
+  CommandPass const pause(7, PassOrder::pause, "", &s), early(7, PassOrder::abort, "", &none),
+      back(7, PassOrder::take_back, "a", &s);
   cr_assert(pause.apply(s).changed);
   CommandPass const resume(7, PassOrder::resume, "", &s);
   cr_assert(resume.apply(s).changed);
@@ -119,7 +137,8 @@
   cr_assert(back.apply(s).changed);
   cr_assert(CommandPass(7, PassOrder::take_back, "b", &s).apply(s).changed, "the last: the pass is over");
   std::string const was = codec::pack(s);
-  for (CommandPass const& c : {pause, resume, back}) cr_assert(c.apply(s).ruling == Ruling::taken, "acknowledged before");
+  for (CommandPass const& c : {pause, resume, back})
+    cr_assert(c.apply(s).ruling == Ruling::taken, "acknowledged before");
   cr_assert(CommandPass(7, PassOrder::abort, "", &s).apply(s).ruling == Ruling::clash, "nobody ever acknowledged it");
   cr_assert(CommandPass(8, PassOrder::abort, "", &s).apply(s).ruling == Ruling::unknown);
   // What stood in the way of this one when another node refused it is over since.
@@ -197,7 +216,11 @@
   crash.calm = 700;
   members.members = true;
   members.calm = 1100;
-  return {{"calm", calm}, {"answers lost", lost}, {"a node cut off for long", cut}, {"crashes, power, cuts", crash}, {"members leave and come back", members}};
+  return {{"calm", calm},
+          {"answers lost", lost},
+          {"a node cut off for long", cut},
+          {"crashes, power, cuts", crash},
+          {"members leave and come back", members}};
 }
 }  // namespace
 
@@ -211,7 +234,8 @@
       auto const h = d.run();
       Report const r = check<Control>(h, {});
       std::string stuck;
-      cr_assert(r.finding == Finding::linearizable, "%s, seed %u: %zu of %zu placed, %zu steps%s", s.name, seed, r.placed, h.size(), r.steps, stuck.c_str());
+      cr_assert(r.finding == Finding::linearizable, "%s, seed %u: %zu of %zu placed, %zu steps%s", s.name, seed,
+                r.placed, h.size(), r.steps, stuck.c_str());
       acked += d.acked;
       refused += d.refused;
       resent += d.resent;
@@ -265,7 +289,8 @@
   static Outcome apply(State& s, Amend const& o) {
     auto const items = s.by_key();
     for (Need const& n : o.asked().needs)
-      if (auto const it = items.find("s/" + n.service); it != items.end() && it->second.gone) return Outcome{Ruling::invalid, false, "", 0};
+      if (auto const it = items.find("s/" + n.service); it != items.end() && it->second.gone)
+        return Outcome{Ruling::invalid, false, "", 0};
     return o.apply(s);
   }
   template <class O>
--- a/tests/patron_test.cpp
+++ b/tests/patron_test.cpp
@@ -37,7 +37,8 @@
 
 Test(patron, only_successes_are_timed_and_quantiles_are_close) {
   Tally t;
-  for (int i = 1; i <= 1000; ++i) t.add(0, 0, i / 1000.0, i % 2 == 0 ? 200 : 503);
+  for (int i = 1; i <= 1000; ++i)
+    t.add(0, 0, i / 1000.0, i % 2 == 0 ? 200 : 503);
   cr_assert_eq(t.times.count(), 500u);
   cr_assert_eq(t.codes.at(503), 500u);
   cr_assert(std::abs(t.times.quantile(0.9) - 0.9) < 0.02);
@@ -45,7 +46,8 @@
 
 Test(patron, bad_kinds_are_named) {
   cr_assert_eq(parse_kind("q:POST:/a/:5:100:keyed").body, 100u);
-  for (char const* bad : {"q:GET:/a/", "q:FETCH:/a/:5", "q:GET:a:5", "q:GET:/a/:0", "q:GET:/a/:x", "q:GET:/a/:5:10", "q:POST:/a/:5:10:odd", ":GET:/a/:5"}) {
+  for (char const* bad : {"q:GET:/a/", "q:FETCH:/a/:5", "q:GET:a:5", "q:GET:/a/:0", "q:GET:/a/:x", "q:GET:/a/:5:10",
+                          "q:POST:/a/:5:10:odd", ":GET:/a/:5"}) {
     bool threw = false;
     try {
       parse_kind(bad);
@@ -58,9 +60,11 @@
 
 Test(patron, the_most_over_rate_is_found_in_any_span) {
   Granted g(10);
-  for (int i = 0; i < 100; ++i) g.add(i * 0.1);
+  for (int i = 0; i < 100; ++i)
+    g.add(i * 0.1);
   cr_assert_float_eq(g.worst(), 1, 0.01);
-  for (int i = 0; i < 5; ++i) g.add(20);
+  for (int i = 0; i < 5; ++i)
+    g.add(20);
   cr_assert_float_eq(g.worst(), 5, 0.01);
   g.add(20.1);
   cr_assert_float_eq(g.worst(), 5, 0.01);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -29,16 +29,21 @@
       t.draining = true;
       event_base_loopbreak(t.eb);
     });
-    event* const first = event_new(t.eb, -1, 0, [](evutil_socket_t, short, void*) { raise(SIGTERM); }, nullptr);
-    event* const second = event_new(t.eb, -1, 0, [](evutil_socket_t, short, void* p) {
-      Turn& u = *static_cast<Turn*>(p);
-      u.timer_ran = true;
-      cr_assert_not(u.draining, "the loop has not handled the signal yet");
-      cr_assert(term_arrived());
-      bool const terminating = u.draining || term_arrived();
-      cr_assert(u.request.course().due(2, true, true, terminating) == Course::Due::wait);
-      u.broken_off = u.request.replace_attempt(2, terminating, [] { return true; }, [] { return true; });
-    }, &t);
+    event* const first = event_new(
+        t.eb, -1, 0, [](evutil_socket_t, short, void*) { raise(SIGTERM); }, nullptr);
+    event* const second = event_new(
+        t.eb, -1, 0,
+        [](evutil_socket_t, short, void* p) {
+          Turn& u = *static_cast<Turn*>(p);
+          u.timer_ran = true;
+          cr_assert_not(u.draining, "the loop has not handled the signal yet");
+          cr_assert(term_arrived());
+          bool const terminating = u.draining || term_arrived();
+          cr_assert(u.request.course().due(2, true, true, terminating) == Course::Due::wait);
+          u.broken_off = u.request.replace_attempt(
+              2, terminating, [] { return true; }, [] { return true; });
+        },
+        &t);
     event_active(first, EV_TIMEOUT, 1);
     event_active(second, EV_TIMEOUT, 1);
     event_base_dispatch(t.eb);
--- a/tests/provenance_test.cpp
+++ b/tests/provenance_test.cpp
@@ -39,8 +39,12 @@
   if (out) o.seen.zones.insert("z");
   return o;
 }
-Finding found(std::vector<Call> const& h) { return check<Control>(h, {}).finding; }
-bool good(std::vector<Call> const& h) { return found(h) == Finding::linearizable; }
+Finding found(std::vector<Call> const& h) {
+  return check<Control>(h, {}).finding;
+}
+bool good(std::vector<Call> const& h) {
+  return found(h) == Finding::linearizable;
+}
 }  // namespace
 
 // Histories that differ in one answer or one moment, one of which can't have been.
@@ -73,9 +77,11 @@
 
   Call const on{order(true), 1, never}, off{order(false), 3, 4, true};
   cr_assert(good({on, {read(0, "", true), 2, 2, true}, off, {read(0, ""), 5, 6, true}}));
-  cr_assert_not(good({on, {read(0, "", true), 2, 2, true}, off, {read(0, "", true), 5, 6, true}}), "one order, two effects");
+  cr_assert_not(good({on, {read(0, "", true), 2, 2, true}, off, {read(0, "", true), 5, 6, true}}),
+                "one order, two effects");
   cr_assert(good({on, off, {read(0, "", true), 5, 6, true}}), "once, late");
-  cr_assert_not(good({{on.op, 1, 4}, {on.op, 2, 3, true}, {off.op, 5, 6, true}, {read(0, "", true), 7, 8, true}}), "its time is over");
+  cr_assert_not(good({{on.op, 1, 4}, {on.op, 2, 3, true}, {off.op, 5, 6, true}, {read(0, "", true), 7, 8, true}}),
+                "its time is over");
 }
 
 // Eight callers, made up from one true order: found good whatever overlaps; one answer
@@ -91,10 +97,15 @@
       Moment const at = 10 * static_cast<Moment>(i) + 100;
       std::size_t const who = rnd() % 8;
       if (free[who] >= at) continue;
-      Control::Op o = rnd() % 3 == 0 ? read(0, "") : rnd() % 4 == 0 ? order(rnd() % 2 == 0) : amend("r" + std::to_string(rnd() % 2), 1 + rnd() % 40, "b" + std::to_string(rnd() % 2));
+      Control::Op o = rnd() % 3 == 0 ? read(0, "")
+                      : rnd() % 4 == 0
+                          ? order(rnd() % 2 == 0)
+                          : amend("r" + std::to_string(rnd() % 2), 1 + rnd() % 40, "b" + std::to_string(rnd() % 2));
       bool const known = o.what == Control::What::read || rnd() % 5 != 0;
-      if (o.what == Control::What::read) o.seen = st;
-      else if (o.what == Control::What::amend) o.ok = Control::proper(st, o);
+      if (o.what == Control::What::read)
+        o.seen = st;
+      else if (o.what == Control::What::amend)
+        o.ok = Control::proper(st, o);
       if (known || rnd() % 2 == 0) Control::next(st, o, known);
       Moment const from = std::max(free[who] + 1, at - std::min<Moment>(at, rnd() % 60)), to = at + rnd() % 60;
       free[who] = to;
@@ -108,9 +119,12 @@
       Call& x = bad[rnd() % bad.size()];
       if (x.op.what != Control::What::read) continue;
       // A moment too old, or one that never was.
-      if (t % 2 == 0) x.op.seen.items["r9"] = {1, "never"};
-      else if (x.op.seen.items.empty()) continue;
-      else x.op.seen.items.begin()->second.body += "x";
+      if (t % 2 == 0)
+        x.op.seen.items["r9"] = {1, "never"};
+      else if (x.op.seen.items.empty())
+        continue;
+      else
+        x.op.seen.items.begin()->second.body += "x";
       cr_assert(found(bad) == Finding::broken, "seed %u", seed);
       ++spoiled;
     }
--- a/tests/register_test.cpp
+++ b/tests/register_test.cpp
@@ -29,7 +29,8 @@
   std::size_t won = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
     Net n(seed, 3);
-    for (int i = 3; i < 6; ++i) n.add(i, Life(100 + static_cast<u64>(i)), true);
+    for (int i = 3; i < 6; ++i)
+      n.add(i, Life(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 25; ++r) {
       for (int i = 0; i < 6; ++i) {
         Node& x = n.nodes.at(Net::name(i));
@@ -43,7 +44,8 @@
         else
           n.propose(x.ip, put_item("r/" + std::to_string(n.rnd() % 3), 1 + n.rnd() % 9, x.ip));
       }
-      for (int k = 0; k < 45; ++k) n.step(0.05);
+      for (int k = 0; k < 45; ++k)
+        n.step(0.05);
     }
     n.run();
     check_chain(n, seed);
@@ -76,7 +78,8 @@
 Test(register_, power_loss_and_lost_messages_keep_what_was_won) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     Net n(seed, 3);
-    for (int i = 3; i < 5; ++i) n.add(i, Life(100 + static_cast<u64>(i)), true);
+    for (int i = 3; i < 5; ++i)
+      n.add(i, Life(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 30; ++r) {
       std::string const ip = Net::name(static_cast<int>(n.rnd() % 5));
       Node& x = n.nodes.at(ip);
@@ -87,10 +90,12 @@
         else
           n.propose(ip, put_item("r/" + std::to_string(n.rnd() % 4), 1 + n.rnd() % 9, ip + std::to_string(r)));
       }
-      for (int k = 0; k < 40; ++k) n.step(0.1);
+      for (int k = 0; k < 40; ++k)
+        n.step(0.1);
       if (n.rnd() % 3 == 0) n.reboot(Net::name(static_cast<int>(n.rnd() % 5)));
       if (n.rnd() % 9 == 0)
-        for (auto& [a, b] : n.nodes) n.reboot(a);  // all of the core at once
+        for (auto& [a, b] : n.nodes)
+          n.reboot(a);  // all of the core at once
     }
     n.run();
     check_chain(n, seed);
@@ -147,7 +152,8 @@
 
 Test(register_, minority_wins_nothing) {
   Net n(7, 5);
-  for (int i = 2; i < 5; ++i) n.nodes.at(Net::name(i)).up = false;
+  for (int i = 2; i < 5; ++i)
+    n.nodes.at(Net::name(i)).up = false;
   n.propose(Net::name(0), put_item("r/a", 1, "x"));
   n.run();
   cr_assert(n.history.empty());
--- a/tests/request_test.cpp
+++ b/tests/request_test.cpp
@@ -17,13 +17,35 @@
 
 enum class Sort : u8 { idempotent, effectful, keyed };
 enum class Spoil : u8 {
-  none, lost, twice, late, cut_short, split, other_id, no_id, two_ids, no_seal, bare_503, bare_refusal, other_refusal, refused, misdirected, failed, reset, reset_behind,
-  server_killed, server_frozen, agent_killed, proxy_frozen, drain, count
+  none,
+  lost,
+  twice,
+  late,
+  cut_short,
+  split,
+  other_id,
+  no_id,
+  two_ids,
+  no_seal,
+  bare_503,
+  bare_refusal,
+  other_refusal,
+  refused,
+  misdirected,
+  failed,
+  reset,
+  reset_behind,
+  server_killed,
+  server_frozen,
+  agent_killed,
+  proxy_frozen,
+  drain,
+  count
 };
 
 struct Case {
   Sort sort = Sort::effectful;
-  std::size_t at = 0;    // which message
+  std::size_t at = 0;  // which message
   Spoil spoil = Spoil::none;
   std::size_t when = 0;  // late: before which message of the second request
 };
@@ -72,7 +94,8 @@
     for (int i = 0; i < n; ++i) {
       Sort const s = static_cast<Sort>(rnd_() % 3);
       start("r" + std::to_string(i), s, "k" + std::to_string(i % 7));
-      for (u32 k = rnd_() % 8; k > 0; --k) step();
+      for (u32 k = rnd_() % 8; k > 0; --k)
+        step();
     }
     settle();
     return check();
@@ -96,7 +119,10 @@
       late_.reset();
     }
     Spoil sp = n == c_.at ? c_.spoil : Spoil::none;
-    if (chance_ > 0) sp = std::uniform_real_distribution<>(0, 1)(rnd_) < chance_ ? static_cast<Spoil>(rnd_() % static_cast<u32>(Spoil::count)) : Spoil::none;
+    if (chance_ > 0)
+      sp = std::uniform_real_distribution<>(0, 1)(rnd_) < chance_
+               ? static_cast<Spoil>(rnd_() % static_cast<u32>(Spoil::count))
+               : Spoil::none;
     spoil(std::move(m), sp);
   }
   void spoil(Msg m, Spoil sp) {
@@ -107,8 +133,10 @@
         if (!m.to_server) bag_.push_back(m);  // bytes of a request come once or not at all
         break;
       case Spoil::late:
-        if (late_) after_.push_back(std::move(m));
-        else late_ = std::move(m);
+        if (late_)
+          after_.push_back(std::move(m));
+        else
+          late_ = std::move(m);
         return;
       case Spoil::split:  // half of a message is none yet: the rest comes after another turn
         bag_.push_back(Msg{[this, m](Spoil) { bag_.push_back(m); }, nullptr});
@@ -122,8 +150,10 @@
         return;
       case Spoil::server_killed:
         bag_.push_back(Msg{[this](Spoil) {
-                             for (std::size_t i = 0; i < conns_.size(); ++i) reset(*conns_[i]);
-                           }, nullptr});
+                             for (std::size_t i = 0; i < conns_.size(); ++i)
+                               reset(*conns_[i]);
+                           },
+                           nullptr});
         return;
       case Spoil::server_frozen:
         if (m.conn != nullptr) frozen_ = m.conn->server;
@@ -133,7 +163,8 @@
         bag_.push_back(Msg{[this](Spoil) {
                              now_ += 0.6;
                              tick();
-                           }, nullptr});
+                           },
+                           nullptr});
         break;
       case Spoil::drain: draining_ = true; break;
       default: break;
@@ -145,8 +176,10 @@
     Msg m = std::move(bag_.front());
     bag_.pop_front();
     now_ += 0.005;
-    if (m.to_server && m.conn->server == frozen_) after_.push_back(std::move(m));
-    else m.run(Spoil::none);
+    if (m.to_server && m.conn->server == frozen_)
+      after_.push_back(std::move(m));
+    else
+      m.run(Spoil::none);
     return true;
   }
 
@@ -174,7 +207,8 @@
       frozen_ = -1;
       if (late_) after_.push_back(std::move(*late_));
       late_.reset();
-      for (Msg& m : after_) bag_.push_back(std::move(m));
+      for (Msg& m : after_)
+        bag_.push_back(std::move(m));
       after_.clear();
       while (step() || table_.size() > 0)
         if (bag_.empty()) tick();
@@ -190,9 +224,7 @@
   void timer(Req& q) {
     bool const sent = q.chan != nullptr && q.chan->sent;
     switch (q.core.course().due(now_, q.chan != nullptr, sent, draining_)) {
-      case Course::Due::expired:
-        let_go(q);
-        return carry(q, q.core.expired(sent));
+      case Course::Due::expired: let_go(q); return carry(q, q.core.expired(sent));
       case Course::Due::unsent: return ended(q, End::unsent);
       case Course::Due::late: {
         int s = 3;
@@ -220,7 +252,8 @@
   }
   static int choose(Req const& q) {
     int s = 0;
-    while (q.tried.count(s) > 0) ++s;
+    while (q.tried.count(s) > 0)
+      ++s;
     return s;
   }
   void attempt(Req& q) {
@@ -244,12 +277,15 @@
     c->owner = q.h.ptr();
     q.chan = c;
     q.core.began(now_, 0.5, 0.25);
-    if (fresh) post(Msg{[this, c, id = q.id, key = q.key](Spoil) {
-                          if (c->dead || c->up) return;
-                          c->up = true;
-                          send(*c, id, key);
-                        }, c});
-    else send(*c, q.id, q.key);
+    if (fresh)
+      post(Msg{[this, c, id = q.id, key = q.key](Spoil) {
+                 if (c->dead || c->up) return;
+                 c->up = true;
+                 send(*c, id, key);
+               },
+               c});
+    else
+      send(*c, q.id, q.key);
   }
   void send(Conn& c, std::string const& id, std::string const& key) {
     c.sent = true;
@@ -294,7 +330,8 @@
                if (e == ClaimEnd::not_run && holder_[key] == h) holder_[key] = 0;
                if (e == ClaimEnd::returned) first_[key] = id;
                if (e == ClaimEnd::lost) told_lost_.insert(h);
-             }, nullptr, false, true, true});
+             },
+             nullptr, false, true, true});
   }
   void agent_killed() {
     table_.agent_gone([this](Req& q) { carry(q, q.core.claim_unknown(0.1)); });
@@ -313,7 +350,8 @@
                carry(*q, q->core.claim_repeated());
                answer(q->id, 200, first);
                table_.close(*q);
-             }, nullptr, false, true, true});
+             },
+             nullptr, false, true, true});
   }
   void serve(Conn& c, std::string const& id, std::string const& key, Spoil sp) {
     Reply r{200, {{"Content-Length", "4"}, {"X-Attempt-Id", id}, {"X-Server-Seal", "s"}}, 4};
@@ -335,14 +373,21 @@
                  case Spoil::no_id: x.heads.erase(x.heads.begin() + 1); break;
                  case Spoil::two_ids: x.heads.emplace_back("X-Attempt-Id", "zz"); break;
                  case Spoil::no_seal: x.heads.erase(x.heads.begin() + 2); break;
-                 case Spoil::bare_503: if (!refuses) x.code = 503; break;
-                 case Spoil::bare_refusal: x = Reply{503, {{"Content-Length", "0"}, {"X-Not-Run", "1"}}, 0}; break;  // anybody's
-                 case Spoil::other_refusal: x = Reply{421, {{"Content-Length", "0"}, {"X-Attempt-Id", "zz"}, {"X-Not-Run", "1"}}, 0}; break;
+                 case Spoil::bare_503:
+                   if (!refuses) x.code = 503;
+                   break;
+                 case Spoil::bare_refusal:
+                   x = Reply{503, {{"Content-Length", "0"}, {"X-Not-Run", "1"}}, 0};
+                   break;  // anybody's
+                 case Spoil::other_refusal:
+                   x = Reply{421, {{"Content-Length", "0"}, {"X-Attempt-Id", "zz"}, {"X-Not-Run", "1"}}, 0};
+                   break;
                  case Spoil::failed: x.code = 500; break;
                  default: break;
                }
                came(c, x, id);
-             }, &c});
+             },
+             &c});
   }
   void answer(std::string const& id, int code, std::string const& run_of) {
     if (!answered_.emplace(id, code).second) fail("two answers for " + id);
@@ -362,7 +407,8 @@
     for (auto const& [k, n] : key_runs_)
       if (n > 1) fail(k + " ran twice");
     for (auto const& [k, h] : holder_)
-      if (h != 0 && !claims_spoiled_ && chance_ == 0 && first_[k].empty() && told_lost_.count(h) == 0) fail("the claim on " + k + " is left behind");
+      if (h != 0 && !claims_spoiled_ && chance_ == 0 && first_[k].empty() && told_lost_.count(h) == 0)
+        fail("the claim on " + k + " is left behind");
     if (table_.size() > 0 || table_.asks() > 0) fail("a slot or an ask is left behind");
     for (auto const& c : conns_)
       if (c->busy) fail("a channel is left behind");
@@ -390,8 +436,8 @@
 };
 
 std::string name(Case const& c) {
-  return "sort " + std::to_string(static_cast<int>(c.sort)) + " message " + std::to_string(c.at) + " spoil " + std::to_string(static_cast<int>(c.spoil)) + " when " +
-         std::to_string(c.when);
+  return "sort " + std::to_string(static_cast<int>(c.sort)) + " message " + std::to_string(c.at) + " spoil " +
+         std::to_string(static_cast<int>(c.spoil)) + " when " + std::to_string(c.when);
 }
 
 // Every message of every sort, spoiled in every way; the first break, or nothing.
@@ -434,7 +480,8 @@
 };
 struct RefusalNeedsNoId : Rules {
   static Judged examine(Reply const& r, std::string_view id) {
-    if (find_head(r.heads, "X-Not-Run") != nullptr && find_head(r.heads, "X-Attempt-Id") == nullptr) return {End::not_run, std::nullopt};
+    if (find_head(r.heads, "X-Not-Run") != nullptr && find_head(r.heads, "X-Attempt-Id") == nullptr)
+      return {End::not_run, std::nullopt};
     return dockbend::examine(r, id);
   }
 };
@@ -489,14 +536,16 @@
 Test(request, an_empty_budget_breaks_off_no_attempt) {
   Request r = at_work(3);
   cr_assert(r.course().due(2, true, true, false) == Course::Due::late);
-  cr_assert_not(r.replace_attempt(2, false, [] { return true; }, [] { return false; }));
+  cr_assert_not(r.replace_attempt(
+      2, false, [] { return true; }, [] { return false; }));
   still_at_work(r);
 }
 
 Test(request, no_other_server_breaks_off_no_attempt_and_takes_no_token) {
   Request r = at_work(3);
   int tokens = 0;
-  cr_assert_not(r.replace_attempt(2, false, [] { return false; }, [&] { return ++tokens > 0; }));
+  cr_assert_not(r.replace_attempt(
+      2, false, [] { return false; }, [&] { return ++tokens > 0; }));
   cr_assert_eq(tokens, 0);
   still_at_work(r);
 }
@@ -531,7 +580,16 @@
 Test(request, a_certain_retry_takes_the_place_of_a_late_attempt) {
   Request r = at_work(3);
   std::string order;
-  cr_assert(r.replace_attempt(2, false, [&] { order += 's'; return true; }, [&] { order += 't'; return true; }));
+  cr_assert(r.replace_attempt(
+      2, false,
+      [&] {
+        order += 's';
+        return true;
+      },
+      [&] {
+        order += 't';
+        return true;
+      }));
   cr_assert_str_eq(order.c_str(), "st", "the token is taken for a server that is chosen");
   cr_assert(r.phase() == Request::Phase::choice);
   cr_assert_eq(r.course().arrivals(), 1u);
@@ -551,7 +609,8 @@
   cr_assert(r.ended(End::broken, 0.5, 0.1, spend).what == Step::Do::choose);
   cr_assert_eq(tokens, 1);
   r.began(0.5, 1, 0.25);
-  cr_assert(r.ended(End::unsent, 0.75, 0.1, [] { return false; }).what == Step::Do::choose, "no second token is asked for");
+  cr_assert(r.ended(End::unsent, 0.75, 0.1, [] { return false; }).what == Step::Do::choose,
+            "no second token is asked for");
   r.began(0.75, 1, 0.25);
   cr_assert(r.ended(End::broken, 1, 0.1, spend).what == Step::Do::choose);
   cr_assert_eq(tokens, 2, "that one arrived: the next is paid for anew");
--- a/tests/roll_test.cpp
+++ b/tests/roll_test.cpp
@@ -58,11 +58,13 @@
       news.push_back(r);
     }
     Roll a, b;
-    for (Row const& r : news) a.join(r, 0);
+    for (Row const& r : news)
+      a.join(r, 0);
     std::shuffle(news.begin(), news.end(), rnd);
     for (Row const& r : news)
       if (rnd() % 4 != 0) b.join(r, 0);
-    for (Row const& r : a.all(0)) b.join(r, 0);
+    for (Row const& r : a.all(0))
+      b.join(r, 0);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
@@ -81,7 +83,8 @@
   cr_assert_eq(c.resolve({"n1", "north"}).size(), 2u);
   c.expire(3.5);
   cr_assert_eq(c.rows().size(), 5u);
-  for (Site const* s : c.resolve({"n1", "north"})) cr_assert_str_eq(s->zone.c_str(), "n1");
+  for (Site const* s : c.resolve({"n1", "north"}))
+    cr_assert_str_eq(s->zone.c_str(), "n1");
   Site o;
   o.front = "10.0.1.0:80";
   o.zone = "n2";
@@ -91,7 +94,8 @@
   c.keep(o);
   auto const l = c.resolve({"n1", "north"});
   cr_assert_eq(l.size(), 3u);
-  cr_assert_eq(std::count_if(l.begin(), l.end(), [](Site const* s) { return s->zone == "n2"; }), 1, "not all in one zone");
+  cr_assert_eq(std::count_if(l.begin(), l.end(), [](Site const* s) { return s->zone == "n2"; }), 1,
+               "not all in one zone");
   c.expire(9);
   cr_assert(c.resolve({"n1", "north"}).empty());
 }
@@ -117,21 +121,25 @@
         a.join(r, t);
       }
     }
-    for (Row const& r : whole) b.join(r, 10);
-    for (Row const& r : a.changed_since(at, 10)) b.join(r, 10);
+    for (Row const& r : whole)
+      b.join(r, 10);
+    for (Row const& r : a.changed_since(at, 10))
+      b.join(r, 10);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
 
 Test(roll, a_passing_difference_is_no_mismatch) {
   Mismatch m;
-  for (u64 i = 0; i < 7; ++i) cr_assert_not(m.hear(i, i + 1), "both move");
+  for (u64 i = 0; i < 7; ++i)
+    cr_assert_not(m.hear(i, i + 1), "both move");
   cr_assert_not(m.hear(9, 9));
   cr_assert_not(m.hear(9, 8));
   cr_assert(m.hear(9, 8), "both stand still and differ");
   Mismatch n;
   bool told = false;
-  for (u64 i = 0; i < 9; ++i) told = n.hear(i, i + 1) || told;
+  for (u64 i = 0; i < 9; ++i)
+    told = n.hear(i, i + 1) || told;
   cr_assert(told, "or differ for long");
 }
 
@@ -153,6 +161,7 @@
   who.zone = who.region = "z";
   std::set<std::string> named;
   for (int i = 0; i < 200; ++i)
-    for (Site const* s : c.resolve(who)) named.insert(s->front);
+    for (Site const* s : c.resolve(who))
+      named.insert(s->front);
   cr_assert_gt(named.size(), 25u);
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -19,7 +19,8 @@
 using Sites = std::map<std::string, std::string>;
 Sites sites(int n) {
   Sites m;
-  for (int i = 0; i < n; ++i) m["e" + std::to_string(i)] = "z" + std::to_string(i % 3);
+  for (int i = 0; i < n; ++i)
+    m["e" + std::to_string(i)] = "z" + std::to_string(i % 3);
   return m;
 }
 }  // namespace
@@ -30,9 +31,11 @@
   auto a = r.step(0, s);
   cr_assert_eq(a.send.size(), 3u, "a third, one in each zone");
   std::set<std::string> zones;
-  for (auto const& x : a.send) zones.insert(s.at(x));
+  for (auto const& x : a.send)
+    zones.insert(s.at(x));
   cr_assert_eq(zones.size(), 3u);
-  for (auto const& x : a.send) r.heard(x, true);
+  for (auto const& x : a.send)
+    r.heard(x, true);
   auto b = r.step(0.1, s);
   cr_assert_eq(b.send.size(), 3u);
   cr_assert_not(b.commit);
@@ -148,8 +151,10 @@
         cr_assert_not(committed, "seed %u", seed);
         committed = true;
         std::size_t n = 0;
-        for (auto const& [x, z] : s) n += holds.count(x);
-        cr_assert(static_cast<double>(n) >= 0.67 * static_cast<double>(s.size()) - 1e-6, "seed %u: %zu of %zu", seed, n, s.size());
+        for (auto const& [x, z] : s)
+          n += holds.count(x);
+        cr_assert(static_cast<double>(n) >= 0.67 * static_cast<double>(s.size()) - 1e-6, "seed %u: %zu of %zu", seed, n,
+                  s.size());
         r.committed(true);
       }
       cr_assert_not(st.drop && committed, "seed %u", seed);
@@ -168,7 +173,8 @@
 Test(rollout, bad_plans_are_named) {
   std::string const ok = "ip=10.0.0.1\nzone=a\nzones.a=r\ninnerPorts=7000,7010\nbounds.ackBoundS=5\n";
   cr_assert_float_eq(parse_settings(ok).rollout.giveUpS, 3, 1e-9);
-  for (char const* bad : {"rollout.stages=0.5,0.2,1", "rollout.stages=0.5", "rollout.stages=", "rollout.enough=0", "rollout.enough=1.2", "rollout.giveUpS=-1"}) {
+  for (char const* bad : {"rollout.stages=0.5,0.2,1", "rollout.stages=0.5", "rollout.stages=", "rollout.enough=0",
+                          "rollout.enough=1.2", "rollout.giveUpS=-1"}) {
     try {
       parse_settings(ok + bad + "\n");
       cr_assert(false, "%s passed", bad);
--- a/tests/rotation_test.cpp
+++ b/tests/rotation_test.cpp
@@ -33,7 +33,8 @@
 
   explicit Day(unsigned seed, bool random) : rnd(seed), random_order(random) {
     for (int r = 0; r < 2; ++r)
-      for (int i = 0; i < 12; ++i) add(r == 0 ? "n" : "s", i % 2, true);
+      for (int i = 0; i < 12; ++i)
+        add(r == 0 ? "n" : "s", i % 2, true);
   }
   double u(double a, double b) { return std::uniform_real_distribution<>(a, b)(rnd); }
   void add(std::string const& g, int z, bool old) {
@@ -58,7 +59,10 @@
     if (best == nullptr) return;
     double const x = u(0, 1);
     int const kind = x < 0.7 ? 0 : x < 1 - long_uploads ? 1 : 2;
-    Secs const d = (kind == 0 ? u(0.2, 2) : kind == 1 ? u(0.5, 4) : std::min(900.0, -120 * std::log(u(0.001, 1)))) / best->speed;
+    Secs const d = (kind == 0   ? u(0.2, 2)
+                    : kind == 1 ? u(0.5, 4)
+                                : std::min(900.0, -120 * std::log(u(0.001, 1)))) /
+                   best->speed;
     best->work.push_back(Work{now + d, kind, rnd() % 6, now});
     if (kind == 1) ++keyed;
     if (unit_of(reg, best->id) != nullptr && drained(*best)) ++late;
@@ -102,8 +106,10 @@
   void step() {
     now += 1;
     for (char const* g : {"n", "s"})
-      for (int k = static_cast<int>(u(6, 13)); k > 0; --k) arrive(g);
-    for (Server& s : servers) std::erase_if(s.work, [&](Work const& w) { return w.until <= now; });
+      for (int k = static_cast<int>(u(6, 13)); k > 0; --k)
+        arrive(g);
+    for (Server& s : servers)
+      std::erase_if(s.work, [&](Work const& w) { return w.until <= now; });
     for (std::size_t p = 0; p < reports.size(); ++p) {
       if (now < silent_until[p]) continue;
       Report r;
@@ -165,7 +171,8 @@
     }
     std::erase_if(servers, [](Server const& s) { return !s.there; });
     std::size_t serving = 0;
-    for (Server const& s : servers) serving += told.count(s.id) == 0 ? 1 : 0;
+    for (Server const& s : servers)
+      serving += told.count(s.id) == 0 ? 1 : 0;
     fewest = std::min(fewest, serving);
     most_out = std::max(most_out, out);
   }
@@ -216,11 +223,15 @@
   for (unsigned seed = 1; seed <= 4; ++seed)
     for (bool const by_chance : {false, true}) {
       Day d(seed, by_chance);
-      for (int i = 0; i < 300; ++i) d.step();
+      for (int i = 0; i < 300; ++i)
+        d.step();
       begin_rotation(d, 2);
-      while (d.reg.passes[0].state == PassState::running && d.now < 36000) d.step();
-      cr_assert(d.reg.passes[0].state == PassState::done, "seed %u: %u of %u: %s", seed, d.reg.passes[0].back, d.reg.passes[0].total, d.reg.passes[0].why.c_str());
-      for (auto const& s : d.servers) cr_assert(s.id.rfind("new-", 0) == 0, "seed %u: %s is still there", seed, s.id.c_str());
+      while (d.reg.passes[0].state == PassState::running && d.now < 36000)
+        d.step();
+      cr_assert(d.reg.passes[0].state == PassState::done, "seed %u: %u of %u: %s", seed, d.reg.passes[0].back,
+                d.reg.passes[0].total, d.reg.passes[0].why.c_str());
+      for (auto const& s : d.servers)
+        cr_assert(s.id.rfind("new-", 0) == 0, "seed %u: %s is still there", seed, s.id.c_str());
       cr_assert_eq(d.broken, 0, "seed %u: %zu broken", seed, d.broken);
       cr_assert_eq(d.uploads_cut, 0);
       cr_assert_eq(d.late, 0, "nothing new after it was told");
@@ -294,11 +305,13 @@
   v[3].present = false;
   cr_assert(d.step(s, v, 10).moves.empty(), "one is lost, and one may be out");
   v[3].present = true;
-  for (auto& x : v) x.held.sessions = 3;
+  for (auto& x : v)
+    x.held.sessions = 3;
   Moves m = d.step(s, v, 11);
   cr_assert(m.moves.empty(), "12 of 12 slots would be in use");
   cr_assert(m.words.at(0).why.find("svc in r") == 0, "%s", m.words[0].why.c_str());
-  for (auto& x : v) x.held.sessions = 1;
+  for (auto& x : v)
+    x.held.sessions = 1;
   v[0].held.uploads = 1;
   v[0].held.bytes = 5e6;
   m = d.step(s, v, 12);
--- a/tests/shelf_test.cpp
+++ b/tests/shelf_test.cpp
@@ -36,7 +36,11 @@
           Sink* const s = static_cast<Sink*>(p);
           bufferevent* const b = bufferevent_socket_new(s->eb, fd, BEV_OPT_CLOSE_ON_FREE);
           bufferevent_setcb(
-              b, [](bufferevent* x, void* q) { static_cast<Sink*>(q)->bytes += evbuffer_get_length(bufferevent_get_input(x)); }, nullptr, [](bufferevent*, short, void*) {}, s);
+              b,
+              [](bufferevent* x, void* q) {
+                static_cast<Sink*>(q)->bytes += evbuffer_get_length(bufferevent_get_input(x));
+              },
+              nullptr, [](bufferevent*, short, void*) {}, s);
           bufferevent_enable(b, EV_READ | EV_WRITE);
           s->conns.push_back(b);
         },
@@ -47,32 +51,40 @@
     port = ntohs(sa.sin_port);
   }
   ~Sink() {
-    for (bufferevent* b : conns) bufferevent_free(b);
+    for (bufferevent* b : conns)
+      bufferevent_free(b);
     evconnlistener_free(ls);
     event_base_free(eb);
   }
   void turn(int n) {
-    for (int i = 0; i < n; ++i) event_base_loop(eb, EVLOOP_NONBLOCK);
+    for (int i = 0; i < n; ++i)
+      event_base_loop(eb, EVLOOP_NONBLOCK);
   }
   template <class F>
   void until(F f) {
-    for (int i = 0; i < 100000 && !f(); ++i) turn(1);
+    for (int i = 0; i < 100000 && !f(); ++i)
+      turn(1);
     cr_assert(f());
   }
   // Runs f in one turn with what the sockets hold by then: behind their events, before
   // what these put off to the end of the turn.
-  void within_the_turn(std::function<void()> f, std::function<void()> first = [] {}) {
+  void within_the_turn(
+      std::function<void()> f, std::function<void()> first = [] {}) {
     bool ran = false;
     after(eb, 1e-5, [&] {
       ran = true;
       f();
     });
-    for (Secs const t = now_s(); now_s() - t < 0.001;) {}
+    for (Secs const t = now_s(); now_s() - t < 0.001;) {
+    }
     first();
     turn(1);
     cr_assert(ran);
   }
-  void answer(std::string const& a) { bufferevent_write(conns.at(0), a.data(), a.size()); turn(1); }
+  void answer(std::string const& a) {
+    bufferevent_write(conns.at(0), a.data(), a.size());
+    turn(1);
+  }
   void close() {
     shutdown(bufferevent_getfd(conns.at(0)), SHUT_RDWR);
     bufferevent_free(conns.at(0));
@@ -191,15 +203,19 @@
 };
 Secs silence_limit(event_base* eb, Chan& c) {
   SilenceLimit l{bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec))};
-  event_base_foreach_event(eb, [](event_base const*, event const* e, void* p) {
-    SilenceLimit& x = *static_cast<SilenceLimit*>(p);
-    timeval at{}, now{};
-    if (event_get_fd(e) != x.fd || (event_get_events(e) & EV_READ) == 0 || event_pending(e, EV_TIMEOUT, &at) == 0) return 0;
-    // event_pending speaks of the wall clock.
-    evutil_gettimeofday(&now, nullptr);
-    x.left = static_cast<Secs>(at.tv_sec - now.tv_sec) + static_cast<Secs>(at.tv_usec - now.tv_usec) * 1e-6;
-    return 0;
-  }, &l);
+  event_base_foreach_event(
+      eb,
+      [](event_base const*, event const* e, void* p) {
+        SilenceLimit& x = *static_cast<SilenceLimit*>(p);
+        timeval at{}, now{};
+        if (event_get_fd(e) != x.fd || (event_get_events(e) & EV_READ) == 0 || event_pending(e, EV_TIMEOUT, &at) == 0)
+          return 0;
+        // event_pending speaks of the wall clock.
+        evutil_gettimeofday(&now, nullptr);
+        x.left = static_cast<Secs>(at.tv_sec - now.tv_sec) + static_cast<Secs>(at.tv_usec - now.tv_usec) * 1e-6;
+        return 0;
+      },
+      &l);
   return l.left;
 }
 }  // namespace
--- a/tests/stacks_test.cpp
+++ b/tests/stacks_test.cpp
@@ -36,7 +36,8 @@
 // One parcel at a time is cut short or spoiled: it is refused, not guessed at.
 Test(parcel, large_letters_shrink_and_small_ones_stay) {
   std::string big;
-  for (int i = 0; i < 400; ++i) big += "{\"name\":\"r-" + std::to_string(i) + "\",\"kind\":\"idempotent\"}";
+  for (int i = 0; i < 400; ++i)
+    big += "{\"name\":\"r-" + std::to_string(i) + "\",\"kind\":\"idempotent\"}";
   Parcel const p = parcel(Kind::news, big);
   cr_assert(p.kind == Kind::zipped);
   cr_assert_lt(p.body().size(), big.size() / 5);
@@ -47,14 +48,18 @@
 // One line of the settings is spoiled at a time; the field is named. Unknown ones pass.
 Test(settings, the_platforms_fields_are_checked) {
   std::string const good =
-      "ip=10.0.0.1\nzone=a\nzones.a=r\ninnerPorts=7000,7010\ncloudApi.address=10.9.0.1:80\ncloudApi.tasks=usage_report,other\n"
-      "cloudApi.dutyPerS=50\nbounds.leaseTermS=3\nbounds.reportPeriodS=5\nbounds.usageDelayS=10\ncloudApi.unheardOf=7\n";
+      "ip=10.0.0.1\nzone=a\nzones.a=r\ninnerPorts=7000,7010\ncloudApi.address=10.9.0.1:80\ncloudApi.tasks=usage_report,"
+      "other\n"
+      "cloudApi.dutyPerS=50\nbounds.leaseTermS=3\nbounds.reportPeriodS=5\nbounds.usageDelayS=10\ncloudApi.unheardOf="
+      "7\n";
   Settings const s = parse_settings(good);
   cr_assert(s.cloud && s.cloud->str() == "10.9.0.1:80");
   cr_assert_eq(s.cloudTasks.size(), 2u);
   cr_assert_eq(s.relay(), 7002u);
-  for (auto const& [from, to, field] : {std::tuple{"10.9.0.1:80", "10.9.0.1", "cloudApi.address"}, {"leaseTermS=3", "leaseTermS=0", "bounds.leaseTermS"},
-                                        {"reportPeriodS=5", "reportPeriodS=x", "bounds.reportPeriodS"}, {"dutyPerS=50", "dutyPerS=-1", "cloudApi.dutyPerS"}}) {
+  for (auto const& [from, to, field] : {std::tuple{"10.9.0.1:80", "10.9.0.1", "cloudApi.address"},
+                                        {"leaseTermS=3", "leaseTermS=0", "bounds.leaseTermS"},
+                                        {"reportPeriodS=5", "reportPeriodS=x", "bounds.reportPeriodS"},
+                                        {"dutyPerS=50", "dutyPerS=-1", "cloudApi.dutyPerS"}}) {
     std::string t = good;
     t.replace(t.find(from), std::string(from).size(), to);
     try {
--- a/tests/tally_test.cpp
+++ b/tests/tally_test.cpp
@@ -20,23 +20,30 @@
         std::string const t = "t" + std::to_string(rnd() % 5);
         c.began(t, Window(7 + rnd() % 2));
         if (rnd() % 20 == 0)
-          for (TallyRow& r : c.take(rnd() % 4 == 0).rows) sent.push_back(std::move(r));
+          for (TallyRow& r : c.take(rnd() % 4 == 0).rows)
+            sent.push_back(std::move(r));
       }
-      for (int k = 0; k < 5; ++k) truth["t" + std::to_string(k)] += c.count("t" + std::to_string(k), Window(7));
-      for (TallyRow& r : c.take(true).rows) sent.push_back(std::move(r));
+      for (int k = 0; k < 5; ++k)
+        truth["t" + std::to_string(k)] += c.count("t" + std::to_string(k), Window(7));
+      for (TallyRow& r : c.take(true).rows)
+        sent.push_back(std::move(r));
     }
-    for (std::size_t i = 0; i < 30; ++i) sent.push_back(sent[rnd() % sent.size()]);
+    for (std::size_t i = 0; i < 30; ++i)
+      sent.push_back(sent[rnd() % sent.size()]);
     std::shuffle(sent.begin(), sent.end(), rnd);
     for (std::size_t i = 0; i < sent.size(); ++i) {
       relay.join(sent[i]);
       if (rnd() % 3 == 0)
-        for (TallyRow const& r : relay.take(false).rows) holder.join(r);
+        for (TallyRow const& r : relay.take(false).rows)
+          holder.join(r);
       if (i == sent.size() / 2) {  // a new holder: it gets all
         holder = Totals();
-        for (TallyRow const& r : relay.take(true).rows) holder.join(r);
+        for (TallyRow const& r : relay.take(true).rows)
+          holder.join(r);
       }
     }
-    for (TallyRow const& r : relay.take(false).rows) holder.join(r);
+    for (TallyRow const& r : relay.take(false).rows)
+      holder.join(r);
     cr_assert(holder.sum(Window(7)) == truth, "seed %u", seed);
   }
 }
@@ -46,9 +53,11 @@
   Counter c(1);
   c.began("a", Window(3));
   c.began("a", Window(4));
-  for (TallyRow const& r : c.take(false).rows) t.join(r);
+  for (TallyRow const& r : c.take(false).rows)
+    t.join(r);
   t.forget(Window(4));
-  for (TallyRow const& r : c.take(true).rows) t.join(r);
+  for (TallyRow const& r : c.take(true).rows)
+    t.join(r);
   cr_assert(t.sum(Window(3)).empty());
   cr_assert_eq(t.first().v, 4u);
   cr_assert(c.take(false).rows.empty(), "said once");
