--- /dev/null
+++ b/cmake/DockbendPackage.cmake
@@ -0,0 +1,23 @@
+# Defines one package: a static library of packages/NAME/*.cpp with its public headers under
+# packages/NAME/include/NAME. A package without sources is header-only.
+#   dockbend_package(NAME DEPENDS package... EXTERNAL library...)
+# DEPENDS names the only packages whose headers it may include.
+function(dockbend_package name)
+  cmake_parse_arguments(arg "" "" "DEPENDS;EXTERNAL" ${ARGN})
+  file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
+  if(sources)
+    add_library(dockbend_${name} STATIC ${sources})
+    target_include_directories(dockbend_${name} PUBLIC include)
+    target_link_libraries(dockbend_${name} PUBLIC ${arg_EXTERNAL} PRIVATE dockbend_warnings)
+    set(scope PUBLIC)
+  else()
+    add_library(dockbend_${name} INTERFACE)
+    target_include_directories(dockbend_${name} INTERFACE include)
+    target_link_libraries(dockbend_${name} INTERFACE ${arg_EXTERNAL})
+    set(scope INTERFACE)
+  endif()
+  foreach(dependency ${arg_DEPENDS})
+    target_link_libraries(dockbend_${name} ${scope} dockbend::${dependency})
+  endforeach()
+  add_library(dockbend::${name} ALIAS dockbend_${name})
+endfunction()
--- a/docs/example/town/operator.sh
+++ b/docs/example/town/operator.sh
@@ -22,12 +22,12 @@
     [ -n "${done_[$name]:-}" ] && continue
     done_[$name]=1
     n=${node#edge-}
-    kill "$(cat "$work/edge-$n.pid")" "$(cat "$work/page-$n.pid")"
+    kill "$(cat "$work/edge-$n.pid")" "$(cat "$work/agent-$n.pid")"
     (
-      while kill -0 "$(cat "$work/edge-$n.pid")" 2>/dev/null || kill -0 "$(cat "$work/page-$n.pid")" 2>/dev/null; do sleep 0.1; done
-      DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/page" >> "$work/page-$n.log" 2>&1 &
-      echo $! > "$work/page-$n.pid"
-      DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/circulation" >> "$work/edge-$n.log" 2>&1 &
+      while kill -0 "$(cat "$work/edge-$n.pid")" 2>/dev/null || kill -0 "$(cat "$work/agent-$n.pid")" 2>/dev/null; do sleep 0.1; done
+      DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/dockbend-agent" >> "$work/agent-$n.log" 2>&1 &
+      echo $! > "$work/agent-$n.pid"
+      DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/dockbend-proxy" >> "$work/edge-$n.log" 2>&1 &
       echo $! > "$work/edge-$n.pid"
     ) &
     echo "restarted $node"
@@ -42,7 +42,7 @@
     kill "$(cat "$work/server-$n.pid")"
     next=$((next + 1))
     m=$((next * 12 + (n - 1) % 12 + 1))
-    "$bin/patron" serve --at 127.0.4.$((next - 100)):9001 --id s-$m --work-ms 40 --upload-ms 2500 --capacity 6 --beat 127.0.1.$((i + 1)):8146 \
+    "$bin/dockbend-loadgen" serve --at 127.0.4.$((next - 100)):9001 --id s-$m --work-ms 40 --upload-ms 2500 --capacity 6 --beat 127.0.1.$((i + 1)):8146 \
       --service desk --zone ${zones[i]} &
     echo $! > "$work/server-$m.pid"
     echo "replaced $id by s-$m"
--- a/docs/example/town/up.sh
+++ b/docs/example/town/up.sh
@@ -22,7 +22,7 @@
   ip=127.0.1.$n
   printf 'nodeName=core-%s\nip=%s\nzone=%s\nregion=%s\nbind.control=%s:8146\nbind.directory=%s:8143\ndataDir=%s/core-%s\n%s\n' \
     $n $ip ${zones[i]} ${regions[i]} $ip $ip "$work" $n "$common" > "$work/core-$n.conf"
-  DOCKBEND_SETTINGS=$work/core-$n.conf "$bin/archivist" --staged > "$work/core-$n.log" 2>&1 &
+  DOCKBEND_SETTINGS=$work/core-$n.conf "$bin/dockbend-controller" --staged > "$work/core-$n.log" 2>&1 &
 done
 for n in 1 2 3 4 5 6; do
   i=$(((n - 1) / 2))
@@ -31,14 +31,14 @@
   printf 'nodeName=edge-%s\nip=%s\nzone=%s\nregion=%s\nbind.front=%s:8144\nbind.ready=%s:8140\n%s\n' \
     $n $ip ${zones[i]} ${regions[i]} $ip $ip "$common" > "$work/edge-$n.conf"
   echo "agentPort=$((7700 + n))" >> "$work/edge-$n.conf"
-  DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/page" > "$work/page-$n.log" 2>&1 &
-  echo $! > "$work/page-$n.pid"
-  DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/circulation" > "$work/edge-$n.log" 2>&1 &
+  DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/dockbend-agent" > "$work/agent-$n.log" 2>&1 &
+  echo $! > "$work/agent-$n.pid"
+  DOCKBEND_SETTINGS=$work/edge-$n.conf "$bin/dockbend-proxy" > "$work/edge-$n.log" 2>&1 &
   echo $! > "$work/edge-$n.pid"
 done
 for n in 1 2 3 4 5 6 7 8 9 10 11 12; do
   i=$(((n - 1) / 4))
-  "$bin/patron" serve --at 127.0.3.$n:9001 --id s-$n --work-ms 40 --upload-ms 2500 --capacity 6 --beat 127.0.1.$((i + 1)):8146 \
+  "$bin/dockbend-loadgen" serve --at 127.0.3.$n:9001 --id s-$n --work-ms 40 --upload-ms 2500 --capacity 6 --beat 127.0.1.$((i + 1)):8146 \
     --service desk --zone ${zones[i]} &
   echo $! > "$work/server-$n.pid"
 done
--- a/packages/stacks/include/stacks/strays.hpp
+++ b/packages/base/include/base/unmatched_messages.hpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <string>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/stacks/base.cpp
+++ b/packages/base/types.cpp
@@ -2,8 +2,7 @@
 #include <time.h>
 #include <unistd.h>
 
-#include "stacks/codec.hpp"
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
@@ -59,10 +58,4 @@
   return static_cast<double>(random64() >> 11) * 0x1.0p-53;
 }
 
-namespace codec {
-bool append(pb_ostream_t* st, pb_byte_t const* buf, size_t n) {
-  static_cast<std::string*>(st->state)->append(reinterpret_cast<char const*>(buf), n);
-  return true;
-}
-}  // namespace codec
 }  // namespace dockbend
--- a/packages/manifest/manifest.cpp
+++ b/packages/configuration/configuration.cpp
@@ -1,4 +1,4 @@
-#include "manifest/manifest.hpp"
+#include "configuration/configuration.hpp"
 
 #include <algorithm>
 
--- a/packages/manifest/include/manifest/manifest.hpp
+++ b/packages/configuration/include/configuration/configuration.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "manifest/json.hpp"
+#include "configuration/json.hpp"
 
 namespace dockbend {
 
--- a/packages/manifest/include/manifest/json.hpp
+++ b/packages/configuration/include/configuration/json.hpp
@@ -8,8 +8,8 @@
 #include <limits>
 #include <stdexcept>
 
-#include "manifest/schema.hpp"
-#include "stacks/codec.hpp"
+#include "configuration/schema.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend::json {
 namespace hana = boost::hana;
--- a/packages/manifest/include/manifest/schema.hpp
+++ b/packages/configuration/include/configuration/schema.hpp
@@ -4,9 +4,9 @@
 #include <optional>
 #include <string>
 #include <vector>
-#include "stacks/record.hpp"
+#include "base/record.hpp"
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend::schema {
 
--- a/packages/register/acceptor.cpp
+++ b/packages/consensus/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "register/acceptor.hpp"
+#include "consensus/acceptor.hpp"
 
 namespace dockbend {
 
--- a/packages/register/changes.cpp
+++ b/packages/consensus/change_history.cpp
@@ -1,4 +1,4 @@
-#include "register/changes.hpp"
+#include "consensus/change_history.hpp"
 
 #include <algorithm>
 
--- a/packages/register/include/register/acceptor.hpp
+++ b/packages/consensus/include/consensus/acceptor.hpp
@@ -1,7 +1,7 @@
 // One disk's vote. No I/O: every step hands out what must be on disk before the
 // reply may leave.
 #pragma once
-#include "register/changes.hpp"
+#include "consensus/change_history.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/changes.hpp
+++ b/packages/consensus/include/consensus/change_history.hpp
@@ -3,7 +3,7 @@
 #include <deque>
 #include <unordered_map>
 
-#include "register/rows.hpp"
+#include "consensus/state_rows.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/membership.hpp
+++ b/packages/consensus/include/consensus/membership.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <set>
 
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/proposer.hpp
+++ b/packages/consensus/include/consensus/proposer.hpp
@@ -8,7 +8,7 @@
 #include <functional>
 #include <set>
 
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/state.hpp
+++ b/packages/consensus/include/consensus/replicated_state.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "manifest/manifest.hpp"
+#include "configuration/configuration.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/pieces.hpp
+++ b/packages/consensus/include/consensus/state_chunk.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <functional>
 
-#include "register/rows.hpp"
+#include "consensus/state_rows.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/rows.hpp
+++ b/packages/consensus/include/consensus/state_rows.hpp
@@ -1,7 +1,7 @@
 // The value as rows of a table: what one change writes, and what tells a whole value from
 // a torn one. No I/O.
 #pragma once
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/vote_writer.hpp
+++ b/packages/consensus/include/consensus/vote_writer.hpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <memory>
 
-#include "register/rows.hpp"
+#include "consensus/state_rows.hpp"
 
 namespace dockbend {
 
--- a/packages/register/membership.cpp
+++ b/packages/consensus/membership.cpp
@@ -1,4 +1,4 @@
-#include "register/membership.hpp"
+#include "consensus/membership.hpp"
 
 #include <algorithm>
 #include <functional>
--- a/packages/register/proposer.cpp
+++ b/packages/consensus/proposer.cpp
@@ -1,4 +1,4 @@
-#include "register/proposer.hpp"
+#include "consensus/proposer.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/packages/register/state.cpp
+++ b/packages/consensus/replicated_state.cpp
@@ -1,4 +1,4 @@
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 #include <algorithm>
 #include <set>
--- a/packages/register/pieces.cpp
+++ b/packages/consensus/state_chunk.cpp
@@ -1,4 +1,4 @@
-#include "register/pieces.hpp"
+#include "consensus/state_chunk.hpp"
 
 #include <algorithm>
 
--- a/packages/register/rows.cpp
+++ b/packages/consensus/state_rows.cpp
@@ -1,4 +1,4 @@
-#include "register/rows.hpp"
+#include "consensus/state_rows.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/packages/desks/include/desks/register.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -6,10 +6,10 @@
 #include <algorithm>
 #include <deque>
 
-#include "desks/house.hpp"
-#include "register/patience.hpp"
-#include "register/pieces.hpp"
-#include "register/proposer.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/round_timeout.hpp"
+#include "consensus/state_chunk.hpp"
+#include "controller/controller_context.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/house.hpp
+++ b/packages/controller/include/controller/controller_context.hpp
@@ -8,15 +8,15 @@
 #include <memory>
 #include <optional>
 
-#include "accession/accession.hpp"
-#include "contact/contact.hpp"
-#include "errand/heads.hpp"
-#include "gossip/roll.hpp"
-#include "register/acceptor.hpp"
-#include "register/vellum.hpp"
-#include "stacks/log.hpp"
-#include "stacks/program.hpp"
-#include "stacks/strays.hpp"
+#include "base/unmatched_messages.hpp"
+#include "consensus/acceptor.hpp"
+#include "logging/log.hpp"
+#include "operator_commands/operator_commands.hpp"
+#include "process/program.hpp"
+#include "quorum_contact/quorum_contact.hpp"
+#include "request/headers.hpp"
+#include "server_registry/server_registry.hpp"
+#include "storage/async_store.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/sites.hpp
+++ b/packages/controller/include/controller/directory_service.hpp
@@ -3,8 +3,8 @@
 #include <event2/keyvalq_struct.h>
 #include <set>
 
-#include "catalog/catalog.hpp"
-#include "desks/house.hpp"
+#include "controller/controller_context.hpp"
+#include "directory/directory.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/drains.hpp
+++ b/packages/controller/include/controller/drain_service.hpp
@@ -5,11 +5,11 @@
 #include <cmath>
 #include <cstring>
 
-#include "desks/duties.hpp"
-#include "desks/servers.hpp"
-#include "desks/surveys.hpp"
-#include "drain/nodes.hpp"
-#include "drain/servers.hpp"
+#include "controller/lease_service.hpp"
+#include "controller/registry_service.hpp"
+#include "controller/survey_service.hpp"
+#include "drain/proxy_drain.hpp"
+#include "drain/server_drain.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/keys.hpp
+++ b/packages/controller/include/controller/idempotency_service.hpp
@@ -3,8 +3,8 @@
 #include <deque>
 #include <set>
 
-#include "desks/house.hpp"
-#include "keys/filling.hpp"
+#include "controller/controller_context.hpp"
+#include "idempotency/key_backfill.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/duties.hpp
+++ b/packages/controller/include/controller/lease_service.hpp
@@ -2,11 +2,11 @@
 #pragma once
 #include <cmath>
 
-#include "allowance/allowance.hpp"
-#include "desks/sites.hpp"
-#include "duty/duty.hpp"
-#include "duty/envoy.hpp"
-#include "duty/reporter.hpp"
+#include "controller/directory_service.hpp"
+#include "leases/lease_client.hpp"
+#include "leases/platform_client.hpp"
+#include "leases/usage_reporter.hpp"
+#include "quota/quota.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/members.hpp
+++ b/packages/controller/include/controller/membership_service.hpp
@@ -2,8 +2,8 @@
 #pragma once
 #include <algorithm>
 
-#include "desks/keys.hpp"
-#include "register/membership.hpp"
+#include "consensus/membership.hpp"
+#include "controller/idempotency_service.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/servers.hpp
+++ b/packages/controller/include/controller/registry_service.hpp
@@ -1,7 +1,7 @@
 // The desk of the servers: their beats, and the roll that is passed on.
 #pragma once
 
-#include "desks/house.hpp"
+#include "controller/controller_context.hpp"
 
 namespace dockbend {
 
--- a/packages/desks/include/desks/rollouts.hpp
+++ b/packages/controller/include/controller/rollout_service.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <set>
 
-#include "desks/sites.hpp"
+#include "controller/directory_service.hpp"
 #include "rollout/rollout.hpp"
 
 namespace dockbend {
--- a/packages/desks/include/desks/surveys.hpp
+++ b/packages/controller/include/controller/survey_service.hpp
@@ -2,9 +2,9 @@
 #pragma once
 #include <set>
 
-#include "atlas/forecast.hpp"
-#include "desks/servers.hpp"
-#include "desks/sites.hpp"
+#include "controller/directory_service.hpp"
+#include "controller/registry_service.hpp"
+#include "planning/forecast.hpp"
 
 namespace dockbend {
 
--- a/packages/catalog/catalog.cpp
+++ b/packages/directory/directory.cpp
@@ -1,4 +1,4 @@
-#include "catalog/catalog.hpp"
+#include "directory/directory.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/catalog/include/catalog/catalog.hpp
+++ b/packages/directory/include/directory/directory.hpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "gossip/roll.hpp"
+#include "server_registry/server_registry.hpp"
 
 namespace dockbend {
 
--- a/packages/drain/pass.cpp
+++ b/packages/drain/drain_run.cpp
@@ -1,4 +1,4 @@
-#include "drain/pass.hpp"
+#include "drain/drain_run.hpp"
 
 #include <algorithm>
 #include <map>
--- a/packages/drain/include/drain/pass.hpp
+++ b/packages/drain/include/drain/drain_run.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 namespace dockbend {
 
--- a/packages/drain/include/drain/nodes.hpp
+++ b/packages/drain/include/drain/proxy_drain.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "drain/pass.hpp"
+#include "drain/drain_run.hpp"
 
 namespace dockbend {
 
--- a/packages/drain/include/drain/leaver.hpp
+++ b/packages/drain/include/drain/proxy_drain_state.hpp
@@ -2,8 +2,8 @@
 #pragma once
 #include <deque>
 
-#include "gossip/roll.hpp"
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
+#include "server_registry/server_registry.hpp"
 
 namespace dockbend {
 
--- a/packages/drain/nodes.cpp
+++ b/packages/drain/proxy_drain.cpp
@@ -1,4 +1,4 @@
-#include "drain/nodes.hpp"
+#include "drain/proxy_drain.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/packages/drain/servers.cpp
+++ b/packages/drain/server_drain.cpp
@@ -1,4 +1,4 @@
-#include "drain/servers.hpp"
+#include "drain/server_drain.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/packages/keys/include/keys/claims.hpp
+++ b/packages/idempotency/include/idempotency/claim_coordinator.hpp
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <variant>
 
-#include "keys/ask.hpp"
-#include "register/state.hpp"
-#include "stacks/strays.hpp"
+#include "base/unmatched_messages.hpp"
+#include "consensus/replicated_state.hpp"
+#include "idempotency/proxy_messages.hpp"
 
 namespace dockbend {
 
--- a/packages/keys/include/keys/filling.hpp
+++ b/packages/idempotency/include/idempotency/key_backfill.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <set>
 
-#include "keys/ledger.hpp"
+#include "idempotency/key_table.hpp"
 
 namespace dockbend {
 
--- a/packages/keys/include/keys/ledger.hpp
+++ b/packages/idempotency/include/idempotency/key_table.hpp
@@ -3,9 +3,9 @@
 #include <deque>
 #include <unordered_map>
 #include <unordered_set>
-#include "stacks/record.hpp"
+#include "base/record.hpp"
 
-#include "stacks/codec.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/keys/include/keys/ask.hpp
+++ b/packages/idempotency/include/idempotency/proxy_messages.hpp
@@ -1,7 +1,7 @@
 // What a proxy and its agent say to each other about keys, over loopback.
 #pragma once
-#include "gossip/roll.hpp"
-#include "keys/ledger.hpp"
+#include "idempotency/key_table.hpp"
+#include "server_registry/server_registry.hpp"
 
 namespace dockbend {
 
--- a/packages/keys/filling.cpp
+++ b/packages/idempotency/key_backfill.cpp
@@ -1,4 +1,4 @@
-#include "keys/filling.hpp"
+#include "idempotency/key_backfill.hpp"
 
 namespace dockbend {
 
--- a/packages/keys/ledger.cpp
+++ b/packages/idempotency/key_table.cpp
@@ -1,4 +1,4 @@
-#include "keys/ledger.hpp"
+#include "idempotency/key_table.hpp"
 
 #include <algorithm>
 
--- a/packages/duty/include/duty/duty.hpp
+++ b/packages/leases/include/leases/lease_client.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <optional>
 
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
 
 namespace dockbend {
 
--- a/packages/duty/include/duty/envoy.hpp
+++ b/packages/leases/include/leases/platform_client.hpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
 
 namespace dockbend {
 
--- a/packages/duty/include/duty/reporter.hpp
+++ b/packages/leases/include/leases/usage_reporter.hpp
@@ -2,8 +2,8 @@
 #pragma once
 #include <optional>
 
-#include "register/state.hpp"
-#include "tally/totals.hpp"
+#include "consensus/replicated_state.hpp"
+#include "usage/usage_totals.hpp"
 
 namespace dockbend {
 
--- a/packages/duty/duty.cpp
+++ b/packages/leases/lease_client.cpp
@@ -1,4 +1,4 @@
-#include "duty/duty.hpp"
+#include "leases/lease_client.hpp"
 
 #include <algorithm>
 
--- a/packages/duty/envoy.cpp
+++ b/packages/leases/platform_client.cpp
@@ -1,4 +1,4 @@
-#include "duty/envoy.hpp"
+#include "leases/platform_client.hpp"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -7,7 +7,7 @@
 
 #include <cstdlib>
 
-#include "stacks/courier.hpp"
+#include "transport/transport.hpp"
 
 namespace dockbend {
 
--- a/packages/duty/reporter.cpp
+++ b/packages/leases/usage_reporter.cpp
@@ -1,4 +1,4 @@
-#include "duty/reporter.hpp"
+#include "leases/usage_reporter.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/assign/include/assign/assign.hpp
+++ b/packages/load_balancing/include/load_balancing/load_balancer.hpp
@@ -6,8 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "assign/budget.hpp"
-#include "stacks/settings.hpp"
+#include "load_balancing/retry_budget.hpp"
+#include "settings/settings.hpp"
 
 namespace dockbend {
 
--- a/packages/assign/include/assign/budget.hpp
+++ b/packages/load_balancing/include/load_balancing/retry_budget.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <deque>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/assign/assign.cpp
+++ b/packages/load_balancing/load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "assign/assign.hpp"
+#include "load_balancing/load_balancer.hpp"
 
 #include <cmath>
 
--- a/packages/patron/tally.cpp
+++ b/packages/load_generation/load_report.cpp
@@ -1,4 +1,4 @@
-#include "patron/tally.hpp"
+#include "load_generation/load_report.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/stacks/log.cpp
+++ b/packages/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "stacks/log.hpp"
+#include "logging/log.hpp"
 
 #include <log4cplus/consoleappender.h>
 #include <log4cplus/initializer.h>
--- a/packages/collation/include/collation/registers.hpp
+++ b/packages/model_checking/include/model_checking/consensus_model.hpp
@@ -8,10 +8,10 @@
 #include <set>
 #include <variant>
 
-#include "collation/explore.hpp"
-#include "collation/faults.hpp"
-#include "register/acceptor.hpp"
-#include "register/proposer.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/proposer.hpp"
+#include "model_checking/explore.hpp"
+#include "model_checking/faults.hpp"
 
 namespace dockbend::collation {
 
--- a/packages/collation/include/collation/explore.hpp
+++ b/packages/model_checking/include/model_checking/explore.hpp
@@ -9,7 +9,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend::collation {
 
--- a/packages/collation/include/collation/ledgers.hpp
+++ b/packages/model_checking/include/model_checking/idempotency_model.hpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <set>
 
-#include "collation/registers.hpp"
-#include "keys/filling.hpp"
+#include "idempotency/key_backfill.hpp"
+#include "model_checking/consensus_model.hpp"
 
 namespace dockbend::collation {
 
--- a/packages/collation/include/collation/duties.hpp
+++ b/packages/model_checking/include/model_checking/lease_model.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include <memory>
 
-#include "collation/registers.hpp"
-#include "duty/duty.hpp"
+#include "leases/lease_client.hpp"
+#include "model_checking/consensus_model.hpp"
 
 namespace dockbend::collation {
 
--- a/packages/collation/include/collation/collation.hpp
+++ b/packages/model_checking/include/model_checking/model_catalog.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <stdexcept>
 
-#include "collation/explore.hpp"
+#include "model_checking/explore.hpp"
 
 namespace dockbend::collation {
 
--- a/packages/collation/collation.cpp
+++ b/packages/model_checking/model_catalog.cpp
@@ -1,11 +1,11 @@
-#include "collation/collation.hpp"
+#include "model_checking/model_catalog.hpp"
 
 #include <algorithm>
 #include <sstream>
 
-#include "collation/duties.hpp"
-#include "collation/ledgers.hpp"
-#include "collation/registers.hpp"
+#include "model_checking/consensus_model.hpp"
+#include "model_checking/idempotency_model.hpp"
+#include "model_checking/lease_model.hpp"
 
 namespace dockbend::collation {
 namespace {
--- a/packages/accession/include/accession/accession.hpp
+++ b/packages/operator_commands/include/operator_commands/operator_commands.hpp
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "drain/pass.hpp"
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
+#include "drain/drain_run.hpp"
 
 namespace dockbend {
 
--- a/packages/accession/accession.cpp
+++ b/packages/operator_commands/operator_commands.cpp
@@ -1,4 +1,4 @@
-#include "accession/accession.hpp"
+#include "operator_commands/operator_commands.hpp"
 
 #include <algorithm>
 
--- a/packages/atlas/orders.cpp
+++ b/packages/planning/drain_orders.cpp
@@ -1,4 +1,4 @@
-#include "atlas/orders.hpp"
+#include "planning/drain_orders.hpp"
 
 #include <algorithm>
 
--- a/packages/atlas/moves.cpp
+++ b/packages/planning/drain_waves.cpp
@@ -1,9 +1,9 @@
-#include "atlas/moves.hpp"
+#include "planning/drain_waves.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "catalog/catalog.hpp"
+#include "directory/directory.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/atlas/forecast.cpp
+++ b/packages/planning/forecast.cpp
@@ -1,4 +1,4 @@
-#include "atlas/forecast.hpp"
+#include "planning/forecast.hpp"
 
 #include <algorithm>
 #include <boost/heap/priority_queue.hpp>
--- a/packages/atlas/include/atlas/orders.hpp
+++ b/packages/planning/include/planning/drain_orders.hpp
@@ -1,8 +1,8 @@
 // From what an operator names to an order: proxies by node, address, zone or region; servers by
 // id, service, generation or zone. No I/O.
 #pragma once
-#include "atlas/moves.hpp"
-#include "drain/servers.hpp"
+#include "drain/server_drain.hpp"
+#include "planning/drain_waves.hpp"
 
 namespace dockbend {
 
--- a/packages/atlas/include/atlas/moves.hpp
+++ b/packages/planning/include/planning/drain_waves.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "atlas/forecast.hpp"
+#include "planning/forecast.hpp"
 
 namespace dockbend {
 
--- a/packages/atlas/include/atlas/forecast.hpp
+++ b/packages/planning/include/planning/forecast.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include <set>
 
-#include "assign/assign.hpp"
-#include "atlas/survey.hpp"
+#include "load_balancing/load_balancer.hpp"
+#include "planning/traffic_survey.hpp"
 
 namespace dockbend {
 
--- a/packages/atlas/include/atlas/survey.hpp
+++ b/packages/planning/include/planning/traffic_survey.hpp
@@ -6,9 +6,9 @@
 #include <tuple>
 #include <vector>
 
-#include "drain/servers.hpp"
-#include "stacks/codec.hpp"
-#include "stacks/record.hpp"
+#include "base/record.hpp"
+#include "drain/server_drain.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/atlas/survey.cpp
+++ b/packages/planning/traffic_survey.cpp
@@ -1,4 +1,4 @@
-#include "atlas/survey.hpp"
+#include "planning/traffic_survey.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/stacks/include/stacks/program.hpp
+++ b/packages/process/include/process/program.hpp
@@ -8,8 +8,8 @@
 #include <memory>
 #include <optional>
 
-#include "stacks/courier.hpp"
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
+#include "transport/transport.hpp"
 
 namespace dockbend {
 
--- a/packages/stacks/program.cpp
+++ b/packages/process/program.cpp
@@ -1,4 +1,4 @@
-#include "stacks/program.hpp"
+#include "process/program.hpp"
 
 #include <getopt.h>
 #include <signal.h>
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "stacks/log.hpp"
+#include "logging/log.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/contact/include/contact/contact.hpp
+++ b/packages/quorum_contact/include/quorum_contact/quorum_contact.hpp
@@ -11,9 +11,9 @@
 #include <limits>
 #include <map>
 
-#include "stacks/codec.hpp"
-#include "stacks/record.hpp"
-#include "stacks/settings.hpp"
+#include "base/record.hpp"
+#include "settings/settings.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/contact/contact.cpp
+++ b/packages/quorum_contact/quorum_contact.cpp
@@ -1,10 +1,10 @@
-#include "contact/contact.hpp"
+#include "quorum_contact/quorum_contact.hpp"
 
 #include <algorithm>
 #include <functional>
 #include <tuple>
 
-#include "contact/feeders.hpp"
+#include "quorum_contact/controller_selection.hpp"
 
 namespace dockbend {
 
--- a/packages/allowance/include/allowance/allowance.hpp
+++ b/packages/quota/include/quota/quota.hpp
@@ -7,8 +7,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "stacks/codec.hpp"
-#include "stacks/record.hpp"
+#include "base/record.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/allowance/allowance.cpp
+++ b/packages/quota/quota.cpp
@@ -1,4 +1,4 @@
-#include "allowance/allowance.hpp"
+#include "quota/quota.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/errand/arrival.cpp
+++ b/packages/request/admission.cpp
@@ -1,4 +1,4 @@
-#include "errand/arrival.hpp"
+#include "request/admission.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/packages/errand/heads.cpp
+++ b/packages/request/headers.cpp
@@ -1,4 +1,4 @@
-#include "errand/heads.hpp"
+#include "request/headers.hpp"
 
 #include <algorithm>
 #include <array>
--- a/packages/errand/include/errand/arrival.hpp
+++ b/packages/request/include/request/admission.hpp
@@ -6,8 +6,8 @@
 #include <string_view>
 #include <vector>
 
-#include "errand/heads.hpp"
-#include "manifest/manifest.hpp"
+#include "configuration/configuration.hpp"
+#include "request/headers.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/heads.hpp
+++ b/packages/request/include/request/headers.hpp
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "errand/fence.hpp"
-#include "stacks/types.hpp"
+#include "base/types.hpp"
+#include "request/response_filter.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/request.hpp
+++ b/packages/request/include/request/request_machine.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "errand/course.hpp"
+#include "request/retry_state.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/table.hpp
+++ b/packages/request/include/request/request_table.hpp
@@ -4,8 +4,8 @@
 #include <unordered_map>
 #include <utility>
 
-#include "errand/fence.hpp"
-#include "errand/slab.hpp"
+#include "request/response_filter.hpp"
+#include "request/slab.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/fence.hpp
+++ b/packages/request/include/request/response_filter.hpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <string>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/course.hpp
+++ b/packages/request/include/request/retry_state.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <algorithm>
 
-#include "errand/heads.hpp"
+#include "request/headers.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/include/errand/slab.hpp
+++ b/packages/request/include/request/slab.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <vector>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/errand/fence.cpp
+++ b/packages/request/response_filter.cpp
@@ -1,4 +1,4 @@
-#include "errand/fence.hpp"
+#include "request/response_filter.hpp"
 
 namespace dockbend {
 
--- a/packages/rollout/include/rollout/rollout.hpp
+++ b/packages/rollout/include/rollout/rollout.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "manifest/manifest.hpp"
-#include "stacks/settings.hpp"
+#include "configuration/configuration.hpp"
+#include "settings/settings.hpp"
 
 namespace dockbend {
 
--- a/packages/gossip/include/gossip/roll.hpp
+++ b/packages/server_registry/include/server_registry/server_registry.hpp
@@ -3,9 +3,9 @@
 #pragma once
 #include <optional>
 #include <unordered_map>
-#include "stacks/record.hpp"
+#include "base/record.hpp"
 
-#include "stacks/codec.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/gossip/roll.cpp
+++ b/packages/server_registry/server_registry.cpp
@@ -1,4 +1,4 @@
-#include "gossip/roll.hpp"
+#include "server_registry/server_registry.hpp"
 
 #include <algorithm>
 #include <unordered_set>
--- a/packages/stacks/include/stacks/settings.hpp
+++ b/packages/settings/include/settings/settings.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/stacks/settings.cpp
+++ b/packages/settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
 
 #include <arpa/inet.h>
 
--- a/packages/register/vellum.cpp
+++ b/packages/storage/async_store.cpp
@@ -1,4 +1,4 @@
-#include "register/vellum.hpp"
+#include "storage/async_store.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/packages/register/store.cpp
+++ b/packages/storage/disk_store.cpp
@@ -1,4 +1,4 @@
-#include "register/store.hpp"
+#include "storage/disk_store.hpp"
 
 #include <fcntl.h>
 #include <sqlite3.h>
@@ -8,8 +8,8 @@
 #include <cstdio>
 #include <cstring>
 
-#include "register/acceptor.hpp"
-#include "stacks/settings.hpp"
+#include "consensus/acceptor.hpp"
+#include "settings/settings.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/register/include/register/vellum.hpp
+++ b/packages/storage/include/storage/async_store.hpp
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "register/store.hpp"
+#include "storage/disk_store.hpp"
 
 namespace dockbend {
 
--- a/packages/register/include/register/store.hpp
+++ b/packages/storage/include/storage/disk_store.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "register/vote_writer.hpp"
+#include "consensus/vote_writer.hpp"
 
 struct sqlite3_stmt;
 
--- a/packages/stacks/include/stacks/courier.hpp
+++ b/packages/transport/include/transport/transport.hpp
@@ -11,8 +11,8 @@
 #include <optional>
 #include <unordered_map>
 
-#include "stacks/codec.hpp"
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/stacks/courier.cpp
+++ b/packages/transport/transport.cpp
@@ -1,4 +1,4 @@
-#include "stacks/courier.hpp"
+#include "transport/transport.hpp"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -9,8 +9,8 @@
 
 #include <algorithm>
 
-#include "stacks/frame.hpp"
-#include "stacks/log.hpp"
+#include "logging/log.hpp"
+#include "wire/frame.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/shelf/shelf.cpp
+++ b/packages/upstream/connection_pool.cpp
@@ -1,10 +1,10 @@
-#include "shelf/shelf.hpp"
+#include "upstream/connection_pool.hpp"
 
 #include <event2/bufferevent.h>
 
 #include <algorithm>
 
-#include "stacks/courier.hpp"
+#include "transport/transport.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/shelf/include/shelf/readings.hpp
+++ b/packages/upstream/include/upstream/body_read_tracker.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <unordered_map>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/shelf/include/shelf/shelf.hpp
+++ b/packages/upstream/include/upstream/connection_pool.hpp
@@ -7,7 +7,7 @@
 
 #include <unordered_map>
 
-#include "assign/assign.hpp"
+#include "load_balancing/load_balancer.hpp"
 
 namespace dockbend {
 
--- a/packages/tally/include/tally/clock.hpp
+++ b/packages/usage/include/usage/median_clock.hpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <string>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend {
 
--- a/packages/tally/include/tally/totals.hpp
+++ b/packages/usage/include/usage/usage_totals.hpp
@@ -6,9 +6,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "stacks/codec.hpp"
-#include "stacks/record.hpp"
-#include "tally/clock.hpp"
+#include "base/record.hpp"
+#include "usage/median_clock.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend {
 
--- a/packages/tally/clock.cpp
+++ b/packages/usage/median_clock.cpp
@@ -1,4 +1,4 @@
-#include "tally/clock.hpp"
+#include "usage/median_clock.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/packages/tally/totals.cpp
+++ b/packages/usage/usage_totals.cpp
@@ -1,4 +1,4 @@
-#include "tally/totals.hpp"
+#include "usage/usage_totals.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
--- a/packages/stacks/frame.cpp
+++ b/packages/wire/frame.cpp
@@ -1,8 +1,8 @@
-#include "stacks/frame.hpp"
+#include "wire/frame.hpp"
 
 #include <zlib.h>
 
-#include "stacks/codec.hpp"
+#include "wire/codec.hpp"
 
 namespace dockbend::frame {
 namespace {
--- a/packages/stacks/include/stacks/codec.hpp
+++ b/packages/wire/include/wire/codec.hpp
@@ -14,8 +14,8 @@
 #include <stdexcept>
 #include <type_traits>
 
-#include "stacks/record.hpp"
-#include "stacks/types.hpp"
+#include "base/record.hpp"
+#include "base/types.hpp"
 
 namespace dockbend::codec {
 namespace hana = boost::hana;
--- a/packages/stacks/include/stacks/frame.hpp
+++ b/packages/wire/include/wire/frame.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "stacks/types.hpp"
+#include "base/types.hpp"
 
 namespace dockbend::frame {
 
--- a/programs/page.cpp
+++ b/programs/agent.cpp
@@ -8,17 +8,17 @@
 #include <optional>
 #include <set>
 
-#include "allowance/allowance.hpp"
-#include "atlas/survey.hpp"
-#include "contact/contact.hpp"
-#include "contact/feeders.hpp"
-#include "gossip/roll.hpp"
-#include "keys/claims.hpp"
-#include "register/state.hpp"
+#include "consensus/replicated_state.hpp"
+#include "idempotency/claim_coordinator.hpp"
+#include "logging/log.hpp"
+#include "planning/traffic_survey.hpp"
+#include "process/program.hpp"
+#include "quorum_contact/controller_selection.hpp"
+#include "quorum_contact/quorum_contact.hpp"
+#include "quota/quota.hpp"
 #include "rollout/rollout.hpp"
-#include "stacks/log.hpp"
-#include "stacks/program.hpp"
-#include "tally/totals.hpp"
+#include "server_registry/server_registry.hpp"
+#include "usage/usage_totals.hpp"
 
 using namespace dockbend;
 
@@ -554,5 +554,5 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_daemon<Agent>({"page", "dockbend's agent beside the proxy"}, argc, argv);
+  return run_daemon<Agent>({"dockbend-agent", "dockbend's agent beside the proxy"}, argc, argv);
 }
--- a/programs/archivist.cpp
+++ b/programs/controller.cpp
@@ -11,15 +11,15 @@
 #include <map>
 #include <set>
 
-#include "desks/drains.hpp"
-#include "desks/duties.hpp"
-#include "desks/keys.hpp"
-#include "desks/members.hpp"
-#include "desks/register.hpp"
-#include "desks/rollouts.hpp"
-#include "desks/servers.hpp"
-#include "desks/sites.hpp"
-#include "desks/surveys.hpp"
+#include "controller/consensus_service.hpp"
+#include "controller/directory_service.hpp"
+#include "controller/drain_service.hpp"
+#include "controller/idempotency_service.hpp"
+#include "controller/lease_service.hpp"
+#include "controller/membership_service.hpp"
+#include "controller/registry_service.hpp"
+#include "controller/rollout_service.hpp"
+#include "controller/survey_service.hpp"
 
 using namespace dockbend;
 
@@ -713,6 +713,6 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_daemon<Archivist>({"archivist", "dockbend's control API, register and directory", true, {"control"}, true},
-                               argc, argv);
+  return run_daemon<Archivist>(
+      {"dockbend-controller", "dockbend's control API, register and directory", true, {"control"}, true}, argc, argv);
 }
--- a/programs/dockbend.cpp
+++ b/programs/dockbend.cpp
@@ -15,10 +15,10 @@
 #include <set>
 #include <sstream>
 
-#include "atlas/forecast.hpp"
-#include "atlas/orders.hpp"
-#include "manifest/json.hpp"
-#include "stacks/settings.hpp"
+#include "configuration/json.hpp"
+#include "planning/drain_orders.hpp"
+#include "planning/forecast.hpp"
+#include "settings/settings.hpp"
 
 using namespace dockbend;
 using json::Value;
--- a/programs/facsimile.cpp
+++ b/programs/hollow_nodes.cpp
@@ -15,15 +15,15 @@
 #include <fstream>
 #include <memory>
 
-#include "assign/assign.hpp"
-#include "gossip/roll.hpp"
-#include "keys/ledger.hpp"
-#include "manifest/manifest.hpp"
-#include "register/acceptor.hpp"
-#include "register/proposer.hpp"
-#include "register/store.hpp"
-#include "stacks/courier.hpp"
-#include "stacks/settings.hpp"
+#include "configuration/configuration.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/proposer.hpp"
+#include "idempotency/key_table.hpp"
+#include "load_balancing/load_balancer.hpp"
+#include "server_registry/server_registry.hpp"
+#include "settings/settings.hpp"
+#include "storage/disk_store.hpp"
+#include "transport/transport.hpp"
 
 using namespace dockbend;
 
@@ -33,15 +33,15 @@
 
 void usage(FILE* f) {
   std::fprintf(f,
-               "facsimile: hollow nodes before one real archivist, to measure what it costs\n\n"
-               "usage: facsimile nodes --control HOST:PORT --inner HOST:PORT [options]\n"
-               "       facsimile library [options]\n\n"
+               "dockbend-hollow-nodes: hollow nodes before one real dockbend-controller, to measure what it costs\n\n"
+               "usage: dockbend-hollow-nodes nodes --control HOST:PORT --inner HOST:PORT [options]\n"
+               "       dockbend-hollow-nodes library [options]\n\n"
                "  nodes    agents that register, keep alive and are fed, and servers that beat\n"
                "    --sites N      hollow agents (default 10, at most %ld)\n"
                "    --servers N    hollow servers (default 10, at most %ld)\n"
                "    --claims R     claims on keys a second, over all agents (default 0)\n"
                "    --for S        how long (default 10, at most 600); the first fifth is not counted\n"
-               "    --pid PID      the archivist's process, on this machine: its processor time and memory\n"
+               "    --pid PID      the dockbend-controller's process, on this machine: its processor time and memory\n"
                "    --zone Z, --region R  where they say they are (default desk, desk)\n"
                "  library  the parts of a node at a size, without any node\n"
                "    --lanes N, --tenants N, --servers N (default 100, 100, 100; at most %ld together)\n"
@@ -321,7 +321,7 @@
 };
 
 std::pair<ChangeCost, ChangeCost> change_costs(std::vector<Item> items) {
-  char dir[] = "/tmp/facsimile-XXXXXX";
+  char dir[] = "/tmp/dockbend-hollow-XXXXXX";
   if (::mkdtemp(dir) == nullptr) throw std::runtime_error("no room in /tmp");
   std::pair<ChangeCost, ChangeCost> out;
   {
@@ -465,14 +465,14 @@
         case 'l': lanes = static_cast<long>(number(optarg, "--lanes", 1, most_items)); break;
         case 't': tenants = static_cast<long>(number(optarg, "--tenants", 0, most_items)); break;
         case 'h': usage(stdout); return rc_ok;
-        case 'v': std::printf("facsimile (dockbend) 0.2.0\n"); return rc_ok;
+        case 'v': std::printf("dockbend-hollow-nodes (dockbend) 0.2.0\n"); return rc_ok;
         default: usage(stderr); return rc_usage;
       }
     }
     if (lanes + tenants + servers > most_items)
       throw Bad("--lanes, --tenants, --servers: more than " + std::to_string(most_items) + " together");
   } catch (std::exception const& e) {
-    std::fprintf(stderr, "facsimile: %s\n", e.what());
+    std::fprintf(stderr, "dockbend-hollow-nodes: %s\n", e.what());
     return rc_usage;
   }
   signal(SIGPIPE, SIG_IGN);
--- a/programs/patron.cpp
+++ b/programs/loadgen.cpp
@@ -15,9 +15,9 @@
 #include <optional>
 #include <set>
 
-#include "manifest/json.hpp"
-#include "patron/tally.hpp"
-#include "stacks/courier.hpp"
+#include "configuration/json.hpp"
+#include "load_generation/load_report.hpp"
+#include "transport/transport.hpp"
 
 using namespace dockbend;
 
@@ -27,9 +27,9 @@
 
 void usage(FILE* f) {
   std::fprintf(f,
-               "patron: an open-loop load generator for dockbend\n\n"
-               "usage: patron --to HOST:PORT [--to ...] --host NAME --kind KIND [--kind KIND...] [options]\n"
-               "       patron serve --at HOST:PORT [options]\n\n"
+               "dockbend-loadgen: an open-loop load generator for dockbend\n\n"
+               "usage: dockbend-loadgen --to HOST:PORT [--to ...] --host NAME --kind KIND [--kind KIND...] [options]\n"
+               "       dockbend-loadgen serve --at HOST:PORT [options]\n\n"
                "  --to               a gateway; errands go to those given in turn\n"
                "  --kind NAME:METHOD:PATH:RATE[:BODYBYTES[:keyed[:TOKEN]]]\n"
                "                     errands of one kind, RATE a second; TOKEN is the partner's key\n"
@@ -471,12 +471,12 @@
         case 'S': sv.service = optarg; break;
         case 'z': sv.zone = optarg; break;
         case 'h': usage(stdout); return rc_ok;
-        case 'v': std::printf("patron (dockbend) 0.2.0\n"); return rc_ok;
+        case 'v': std::printf("dockbend-loadgen (dockbend) 0.2.0\n"); return rc_ok;
         default: usage(stderr); return rc_usage;
       }
     }
   } catch (std::exception const& e) {
-    std::fprintf(stderr, "patron: %s\n", e.what());
+    std::fprintf(stderr, "dockbend-loadgen: %s\n", e.what());
     return rc_usage;
   }
   signal(SIGPIPE, SIG_IGN);
@@ -489,7 +489,7 @@
     evhttp_set_gencb(
         h, [](evhttp_request* r, void* p) { static_cast<Server*>(p)->arrive(r); }, &sv);
     if (evhttp_bind_socket(h, at->ip.c_str(), static_cast<ev_uint16_t>(at->port)) != 0) {
-      std::fprintf(stderr, "patron: can't listen at %s\n", at->str().c_str());
+      std::fprintf(stderr, "dockbend-loadgen: can't listen at %s\n", at->str().c_str());
       return rc_failed;
     }
     std::unique_ptr<Ticker> tick;
--- a/programs/collation.cpp
+++ b/programs/model_check.cpp
@@ -10,7 +10,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "collation/collation.hpp"
+#include "model_checking/model_catalog.hpp"
 
 using namespace dockbend;
 using namespace dockbend::collation;
@@ -21,11 +21,11 @@
 
 void usage(FILE* f) {
   std::fprintf(f,
-               "collation: a model checker for the register, the keys and the duties\n\n"
-               "usage: collation list\n"
-               "       collation search MODEL [options]   every order of events, breadth first\n"
-               "       collation walk MODEL [options]     long random walks by seed\n"
-               "       collation replay TRACEFILE         plays a trace that was written\n\n"
+               "dockbend-model-check: a model checker for the register, the keys and the duties\n\n"
+               "usage: dockbend-model-check list\n"
+               "       dockbend-model-check search MODEL [options]   every order of events, breadth first\n"
+               "       dockbend-model-check walk MODEL [options]     long random walks by seed\n"
+               "       dockbend-model-check replay TRACEFILE         plays a trace that was written\n\n"
                "  MODEL          registers, ledgers or duties\n"
                "  --fault F      plants a fault (see list; default none)\n"
                "  --plan LIST    bounds on top of the model's own, as nodes=4,joins=2 (see list)\n"
@@ -86,7 +86,7 @@
   if (!out.empty() && !o.breach.empty()) {
     std::ofstream f(out);
     f << write_trace(Recorded{&c, plan, o.seed, o.breach, o.trace});
-    if (!f.flush()) std::fprintf(stderr, "collation: can't write %s\n", out.c_str());
+    if (!f.flush()) std::fprintf(stderr, "dockbend-model-check: can't write %s\n", out.c_str());
   }
   if (as_json) {
     rapidjson::StringBuffer sb;
@@ -136,9 +136,9 @@
   for (std::size_t i = 0; i < p.lines.size(); ++i)
     std::printf("%3zu. %s\n", i + 1, p.lines[i].c_str());
   if (!out.empty())
-    std::printf("again: collation replay %s\n", out.c_str());
+    std::printf("again: dockbend-model-check replay %s\n", out.c_str());
   else
-    std::printf("again: the same call with --out FILE, then collation replay FILE\n");
+    std::printf("again: the same call with --out FILE, then dockbend-model-check replay FILE\n");
 }
 
 int replay(std::string const& file, bool as_json) {
@@ -183,7 +183,7 @@
         case 'o': out = optarg; break;
         case 'j': as_json = true; break;
         case 'h': usage(stdout); return rc_ok;
-        case 'v': std::printf("collation (dockbend) 0.2.0\n"); return rc_ok;
+        case 'v': std::printf("dockbend-model-check (dockbend) 0.2.0\n"); return rc_ok;
         default: usage(stderr); return rc_usage;
       }
     }
@@ -200,7 +200,7 @@
       return o.breach.empty() ? rc_ok : rc_breach;
     }
   } catch (std::exception const& e) {
-    std::fprintf(stderr, "collation: %s\n", e.what());
+    std::fprintf(stderr, "dockbend-model-check: %s\n", e.what());
     return rc_usage;
   }
   usage(stderr);
--- a/programs/circulation.cpp
+++ b/programs/proxy.cpp
@@ -15,23 +15,23 @@
 #include <map>
 #include <set>
 
-#include "allowance/allowance.hpp"
-#include "assign/assign.hpp"
-#include "atlas/survey.hpp"
-#include "drain/leaver.hpp"
-#include "errand/arrival.hpp"
-#include "errand/request.hpp"
-#include "errand/table.hpp"
-#include "gossip/roll.hpp"
-#include "keys/ask.hpp"
-#include "manifest/manifest.hpp"
-#include "register/state.hpp"
+#include "configuration/configuration.hpp"
+#include "consensus/replicated_state.hpp"
+#include "drain/proxy_drain_state.hpp"
+#include "idempotency/proxy_messages.hpp"
+#include "load_balancing/load_balancer.hpp"
+#include "logging/log.hpp"
+#include "planning/traffic_survey.hpp"
+#include "process/program.hpp"
+#include "quota/quota.hpp"
+#include "request/admission.hpp"
+#include "request/request_machine.hpp"
+#include "request/request_table.hpp"
 #include "rollout/rollout.hpp"
-#include "shelf/readings.hpp"
-#include "shelf/shelf.hpp"
-#include "stacks/log.hpp"
-#include "stacks/program.hpp"
-#include "tally/totals.hpp"
+#include "server_registry/server_registry.hpp"
+#include "upstream/body_read_tracker.hpp"
+#include "upstream/connection_pool.hpp"
+#include "usage/usage_totals.hpp"
 
 using namespace dockbend;
 using schema::LaneKind;
@@ -1002,5 +1002,5 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_daemon<Proxy>({"circulation", "dockbend's proxy", false, {"front", "ready"}}, argc, argv);
+  return run_daemon<Proxy>({"dockbend-proxy", "dockbend's proxy", false, {"front", "ready"}}, argc, argv);
 }
--- a/tests/stacks_test.cpp
+++ b/tests/base/base_test.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "stacks/courier.hpp"
+#include "transport/transport.hpp"
 
 using namespace dockbend;
 
--- a/tests/manifest_test.cpp
+++ b/tests/configuration/configuration_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "manifest/manifest.hpp"
+#include "configuration/configuration.hpp"
 
 using namespace dockbend;
 
--- a/tests/changes_test.cpp
+++ b/tests/consensus/change_history_test.cpp
@@ -1,9 +1,9 @@
 // What a member lacks: sent by the ballot at which each thing changed, in the rounds themselves.
 #include <criterion/criterion.h>
 
-#include "net.hpp"
-#include "register/patience.hpp"
-#include "register/pieces.hpp"
+#include "consensus/round_timeout.hpp"
+#include "consensus/state_chunk.hpp"
+#include "support/simulated_network.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/register_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "net.hpp"
+#include "support/simulated_network.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/member_test.cpp
+++ b/tests/controller/membership_test.cpp
@@ -1,8 +1,8 @@
 #include <criterion/criterion.h>
 
-#include "keys/ledger.hpp"
-#include "net.hpp"
-#include "register/membership.hpp"
+#include "consensus/membership.hpp"
+#include "idempotency/key_table.hpp"
+#include "support/simulated_network.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/drain_test.cpp
+++ b/tests/drain/proxy_drain_test.cpp
@@ -2,11 +2,11 @@
 
 #include <random>
 
-#include "atlas/orders.hpp"
-#include "catalog/catalog.hpp"
-#include "drain/leaver.hpp"
-#include "drain/nodes.hpp"
-#include "duty/duty.hpp"
+#include "directory/directory.hpp"
+#include "drain/proxy_drain.hpp"
+#include "drain/proxy_drain_state.hpp"
+#include "leases/lease_client.hpp"
+#include "planning/drain_orders.hpp"
 
 using namespace dockbend;
 
--- a/tests/rotation_test.cpp
+++ b/tests/drain/server_drain_test.cpp
@@ -2,8 +2,8 @@
 
 #include <random>
 
-#include "atlas/orders.hpp"
-#include "drain/servers.hpp"
+#include "drain/server_drain.hpp"
+#include "planning/drain_orders.hpp"
 
 using namespace dockbend;
 
--- a/tests/cli_golden.sh
+++ b/tests/golden/command_line.sh
@@ -2,11 +2,11 @@
 # The command line's texts and exit codes against tests/golden/cli.txt: help, version and wrong usage of
 # each program and command, and the requests that dockbend's commands send. With DOCKBEND_WRITE_GOLDEN=1
 # the file is written instead.
-#   tests/cli_golden.sh BIN
+#   tests/golden/command_line.sh BIN
 set -eu
 bin=$(cd "$1" && pwd)
 cd "$(dirname "$0")"
-golden=$PWD/golden/cli.txt
+golden=$PWD/cli.txt
 work=$(mktemp -d)
 recorder=
 end() {
@@ -30,14 +30,14 @@
   done
 }
 {
-  for program in circulation page archivist dockbend patron facsimile collation; do
+  for program in dockbend-proxy dockbend-agent dockbend-controller dockbend dockbend-loadgen dockbend-hollow-nodes dockbend-model-check; do
     rm -f help
     call "$program" --help
     cp out help
     call "$program" --version
     call "$program" --no-such-option
     case $program in
-      circulation | page | archivist)
+      dockbend-proxy | dockbend-agent | dockbend-controller)
         call "$program"
         call "$program" surplus
         call "$program" --settings
--- a/tests/http_golden.sh
+++ b/tests/golden/control_api.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
 # The control API of a running system against tests/golden/http.txt: for each call the status code and the
 # names of all JSON members of the answer (values differ from run to run); for refused calls the whole
-# answer. Starts archivist, page, circulation and a stand-in server on loopback and ends by itself. The
+# answer. Starts a controller, an agent, a proxy and a stand-in server on loopback and ends by itself. The
 # calls are repeated for up to 20 s, until the system has settled and all is as in the golden file. With
 # DOCKBEND_WRITE_GOLDEN=1 the file is written instead, after 8 s.
-#   tests/http_golden.sh BIN
+#   tests/golden/control_api.sh BIN
 set -eu
 bin=$(cd "$1" && pwd)
-cd "$(dirname "$0")/.."
+cd "$(dirname "$0")/../.."
 golden=$PWD/tests/golden/http.txt
 work=$(mktemp -d)
 pids=()
@@ -21,11 +21,11 @@
 shift_ports="s|8146|38146|g; s|8143|38143|g; s|8144|38144|g; s|8140|38140|g; s|^innerPorts=.*|innerPorts=27760,27775|"
 sed "s|^dataDir=.*|dataDir=$work/data|; $shift_ports" docs/example/core.conf > "$work/core.conf"
 sed "$shift_ports" docs/example/edge.conf > "$work/edge.conf"
-DOCKBEND_SETTINGS=$work/core.conf "$bin/archivist" > "$work/archivist.log" 2>&1 & pids+=($!)
-DOCKBEND_SETTINGS=$work/edge.conf "$bin/page" > "$work/page.log" 2>&1 & pids+=($!)
-DOCKBEND_SETTINGS=$work/edge.conf "$bin/circulation" > "$work/circulation.log" 2>&1 & pids+=($!)
-"$bin/patron" serve --at 127.0.0.1:29101 --id s-1 --beat "$control" --service desk --zone desk \
-  > "$work/patron.log" 2>&1 & pids+=($!)
+DOCKBEND_SETTINGS=$work/core.conf "$bin/dockbend-controller" > "$work/controller.log" 2>&1 & pids+=($!)
+DOCKBEND_SETTINGS=$work/edge.conf "$bin/dockbend-agent" > "$work/agent.log" 2>&1 & pids+=($!)
+DOCKBEND_SETTINGS=$work/edge.conf "$bin/dockbend-proxy" > "$work/proxy.log" 2>&1 & pids+=($!)
+"$bin/dockbend-loadgen" serve --at 127.0.0.1:29101 --id s-1 --beat "$control" --service desk --zone desk \
+  > "$work/loadgen.log" 2>&1 & pids+=($!)
 for _ in $(seq 1 50); do
   "$bin/dockbend" --at "$control" manifest amend docs/example/manifest.json >/dev/null 2>&1 && break
   sleep 0.2
--- a/tests/golden_settings_test.cpp
+++ b/tests/golden/golden_settings_test.cpp
@@ -2,8 +2,8 @@
 // sets, and what a member is without it.
 #include <criterion/criterion.h>
 
-#include "golden.hpp"
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
+#include "support/golden_file.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/golden_store_test.cpp
+++ b/tests/golden/golden_store_test.cpp
@@ -7,10 +7,10 @@
 #include <algorithm>
 #include <filesystem>
 
-#include "golden.hpp"
-#include "golden_fields.hpp"
-#include "register/acceptor.hpp"
-#include "register/store.hpp"
+#include "consensus/acceptor.hpp"
+#include "storage/disk_store.hpp"
+#include "support/golden_fields.hpp"
+#include "support/golden_file.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/golden_wire_test.cpp
+++ b/tests/golden/golden_wire_test.cpp
@@ -2,10 +2,10 @@
 // the files are written and golden_fields.hpp for how records are filled.
 #include <criterion/criterion.h>
 
-#include "golden.hpp"
-#include "golden_fields.hpp"
-#include "manifest/manifest.hpp"
-#include "stacks/frame.hpp"
+#include "configuration/configuration.hpp"
+#include "support/golden_fields.hpp"
+#include "support/golden_file.hpp"
+#include "wire/frame.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/claims_test.cpp
+++ b/tests/idempotency/claim_coordinator_test.cpp
@@ -3,7 +3,7 @@
 #include <memory>
 #include <random>
 
-#include "keys/claims.hpp"
+#include "idempotency/claim_coordinator.hpp"
 
 using namespace dockbend;
 
--- a/tests/keys_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <set>
 
-#include "keys/ledger.hpp"
+#include "idempotency/key_table.hpp"
 
 using namespace dockbend;
 
--- a/tests/duty_test.cpp
+++ b/tests/leases/lease_test.cpp
@@ -2,8 +2,8 @@
 
 #include <random>
 
-#include "duty/duty.hpp"
-#include "duty/reporter.hpp"
+#include "leases/lease_client.hpp"
+#include "leases/usage_reporter.hpp"
 
 using namespace dockbend;
 
--- a/tests/provenance_test.cpp
+++ b/tests/linearizability/linearizability_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "control_model.hpp"
+#include "support/control_model.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/assign_test.cpp
+++ b/tests/load_balancing/load_balancer_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "assign/assign.hpp"
+#include "load_balancing/load_balancer.hpp"
 
 using namespace dockbend;
 
--- a/tests/patron_test.cpp
+++ b/tests/load_generation/load_report_test.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "patron/tally.hpp"
+#include "load_generation/load_report.hpp"
 
 using namespace dockbend;
 
--- a/tests/collation_test.cpp
+++ b/tests/model_checking/model_checking_test.cpp
@@ -2,7 +2,7 @@
 
 #include <map>
 
-#include "collation/collation.hpp"
+#include "model_checking/model_catalog.hpp"
 
 using namespace dockbend;
 using namespace dockbend::collation;
--- a/tests/orders_test.cpp
+++ b/tests/operator_commands/operator_commands_test.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "day.hpp"
+#include "support/simulated_day.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/evacuation_test.cpp
+++ b/tests/planning/evacuation_forecast_test.cpp
@@ -3,8 +3,8 @@
 #include <queue>
 #include <random>
 
-#include "atlas/forecast.hpp"
-#include "keys/ledger.hpp"
+#include "idempotency/key_table.hpp"
+#include "planning/forecast.hpp"
 
 using namespace dockbend;
 
--- a/tests/atlas_test.cpp
+++ b/tests/planning/planning_test.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "atlas/forecast.hpp"
+#include "planning/forecast.hpp"
 
 using namespace dockbend;
 
--- a/tests/program_test.cpp
+++ b/tests/process/program_test.cpp
@@ -2,8 +2,8 @@
 #include <criterion/criterion.h>
 #include <signal.h>
 
-#include "errand/request.hpp"
-#include "stacks/program.hpp"
+#include "process/program.hpp"
+#include "request/request_machine.hpp"
 
 using namespace dockbend;
 
--- a/tests/contact_test.cpp
+++ b/tests/quorum_contact/quorum_contact_test.cpp
@@ -1,11 +1,11 @@
-#include "contact/contact.hpp"
+#include "quorum_contact/quorum_contact.hpp"
 
 #include <criterion/criterion.h>
 
 #include <random>
 #include <set>
 
-#include "contact/feeders.hpp"
+#include "quorum_contact/controller_selection.hpp"
 
 using namespace dockbend;
 
--- a/tests/allowance_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <random>
 
-#include "allowance/allowance.hpp"
+#include "quota/quota.hpp"
 
 using namespace dockbend;
 
--- a/tests/arrival_test.cpp
+++ b/tests/request/admission_test.cpp
@@ -3,7 +3,7 @@
 #include <functional>
 #include <map>
 
-#include "errand/arrival.hpp"
+#include "request/admission.hpp"
 
 using namespace dockbend;
 
--- a/tests/errand_test.cpp
+++ b/tests/request/headers_test.cpp
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
 
-#include "errand/heads.hpp"
-#include "errand/slab.hpp"
+#include "request/headers.hpp"
+#include "request/slab.hpp"
 
 using namespace dockbend;
 
--- a/tests/request_test.cpp
+++ b/tests/request/request_machine_test.cpp
@@ -8,8 +8,8 @@
 #include <random>
 #include <set>
 
-#include "errand/request.hpp"
-#include "errand/table.hpp"
+#include "request/request_machine.hpp"
+#include "request/request_table.hpp"
 
 using namespace dockbend;
 
--- a/tests/course_test.cpp
+++ b/tests/request/retry_state_test.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "errand/course.hpp"
+#include "request/retry_state.hpp"
 
 using namespace dockbend;
 
--- a/tests/input_ports.cpp
+++ b/tests/robustness/malformed_input_ports.cpp
@@ -10,7 +10,7 @@
 #include <cstdlib>
 #include <optional>
 
-#include "input.hpp"
+#include "support/input_mutation.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/input_soak.cpp
+++ b/tests/robustness/malformed_input_soak.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "input.hpp"
+#include "support/input_mutation.hpp"
 
 using namespace dockbend::test;
 
--- a/tests/input_test.cpp
+++ b/tests/robustness/malformed_input_test.cpp
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
 
-#include "duty/reporter.hpp"
-#include "input.hpp"
+#include "leases/usage_reporter.hpp"
+#include "support/input_mutation.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/roll_test.cpp
+++ b/tests/server_registry/server_registry_test.cpp
@@ -4,8 +4,8 @@
 
 #include <set>
 
-#include "catalog/catalog.hpp"
-#include "gossip/roll.hpp"
+#include "directory/directory.hpp"
+#include "server_registry/server_registry.hpp"
 
 using namespace dockbend;
 
--- a/tests/disk_test.cpp
+++ b/tests/storage/disk_store_test.cpp
@@ -11,9 +11,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "net.hpp"
-#include "register/store.hpp"
-#include "stacks/settings.hpp"
+#include "settings/settings.hpp"
+#include "storage/disk_store.hpp"
+#include "support/simulated_network.hpp"
 
 using namespace dockbend;
 using namespace dockbend::test;
--- a/tests/control_model.hpp
+++ b/tests/support/control_model.hpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <set>
 
-#include "accession/accession.hpp"
-#include "provenance/provenance.hpp"
+#include "linearizability/linearizability.hpp"
+#include "operator_commands/operator_commands.hpp"
 
 namespace dockbend::test {
 
--- a/tests/input.hpp
+++ b/tests/support/input_mutation.hpp
@@ -7,20 +7,20 @@
 #include <string>
 #include <vector>
 
-#include "allowance/allowance.hpp"
-#include "atlas/survey.hpp"
-#include "contact/contact.hpp"
-#include "duty/duty.hpp"
-#include "errand/heads.hpp"
-#include "gossip/roll.hpp"
-#include "keys/ask.hpp"
-#include "register/acceptor.hpp"
-#include "register/pieces.hpp"
-#include "register/proposer.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/proposer.hpp"
+#include "consensus/state_chunk.hpp"
+#include "idempotency/proxy_messages.hpp"
+#include "leases/lease_client.hpp"
+#include "planning/traffic_survey.hpp"
+#include "quorum_contact/quorum_contact.hpp"
+#include "quota/quota.hpp"
+#include "request/headers.hpp"
 #include "rollout/rollout.hpp"
-#include "stacks/courier.hpp"
-#include "stacks/frame.hpp"
-#include "tally/totals.hpp"
+#include "server_registry/server_registry.hpp"
+#include "transport/transport.hpp"
+#include "usage/usage_totals.hpp"
+#include "wire/frame.hpp"
 
 namespace dockbend::test {
 namespace hana = boost::hana;
--- a/tests/day.hpp
+++ b/tests/support/simulated_day.hpp
@@ -4,9 +4,9 @@
 #pragma once
 #include <algorithm>
 
-#include "control_model.hpp"
-#include "net.hpp"
 #include "rollout/rollout.hpp"
+#include "support/control_model.hpp"
+#include "support/simulated_network.hpp"
 
 namespace dockbend::test {
 
--- a/tests/net.hpp
+++ b/tests/support/simulated_network.hpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <random>
 
-#include "register/acceptor.hpp"
-#include "register/proposer.hpp"
+#include "consensus/acceptor.hpp"
+#include "consensus/proposer.hpp"
 
 namespace dockbend::test {
 
--- a/tests/shelf_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -5,8 +5,8 @@
 
 #include <functional>
 
-#include "shelf/shelf.hpp"
-#include "stacks/courier.hpp"
+#include "transport/transport.hpp"
+#include "upstream/connection_pool.hpp"
 
 using namespace dockbend;
 
--- a/tests/tally_test.cpp
+++ b/tests/usage/usage_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "tally/totals.hpp"
+#include "usage/usage_totals.hpp"
 
 using namespace dockbend;
 
