--- a/packages/base/include/base/types.hpp
+++ b/packages/base/include/base/types.hpp
@@ -24,20 +24,20 @@
   friend auto operator<=>(Strong const&, Strong const&) = default;
 };
 
-using Gen = Strong<u64, struct GenTag>;        // an item's own generation
-using Ballot = Strong<u64, struct BallotTag>;  // counter << 32 | node; 0 = the founding state
-using Epoch = Strong<u64, struct EpochTag>;    // ballot of the last change of roster
-using Life = Strong<u64, struct LifeTag>;      // a disk's incarnation; 1 = a founder's first disk
-using LaneIx = Strong<u32, struct LaneTag>;
-using PoolIx = Strong<u32, struct PoolTag>;
-using ServerIx = Strong<u32, struct ServerTag>;
-using PlaceIx = Strong<u32, struct PlaceTag>;  // a zone or a region, by table
+using Generation = Strong<u64, struct GenerationTag>;    // an item's own generation
+using Ballot = Strong<u64, struct BallotTag>;            // counter << 32 | node; 0 = the founding state
+using Epoch = Strong<u64, struct EpochTag>;              // ballot of the last change of roster
+using Incarnation = Strong<u64, struct IncarnationTag>;  // a disk's incarnation; 1 = a founder's first disk
+using RouteIndex = Strong<u32, struct RouteTag>;
+using ServiceIndex = Strong<u32, struct ServiceTag>;
+using ServerIndex = Strong<u32, struct ServerTag>;
+using LocationIndex = Strong<u32, struct LocationTag>;  // a zone or a region, by table
 
 // Seconds on the steady clock. The time of day decides nothing but which window an
 // errand is counted in.
-using Secs = double;
-Secs now_s();
-double wall_s();  // the machine's time of day, in seconds since the start of 1970
+using Seconds = double;
+Seconds steady_now();
+double wall_clock_now();  // the machine's time of day, in seconds since the start of 1970
 
 // Is there anything in it that could end a line or a text early?
 inline bool has_control(std::string_view s) {
--- a/packages/base/types.cpp
+++ b/packages/base/types.cpp
@@ -6,13 +6,13 @@
 
 namespace dockbend {
 
-Secs now_s() {
+Seconds steady_now() {
   timespec ts{};
   clock_gettime(CLOCK_MONOTONIC, &ts);
   return static_cast<double>(ts.tv_sec) + static_cast<double>(ts.tv_nsec) * 1e-9;
 }
 
-double wall_s() {
+double wall_clock_now() {
   timespec ts{};
   clock_gettime(CLOCK_REALTIME, &ts);
   return static_cast<double>(ts.tv_sec) + static_cast<double>(ts.tv_nsec) * 1e-9;
--- a/packages/configuration/configuration.cpp
+++ b/packages/configuration/configuration.cpp
@@ -5,7 +5,7 @@
 namespace dockbend {
 namespace json {
 
-Gen parse_gen(std::string const& s, std::string const& at) {
+Generation parse_gen(std::string const& s, std::string const& at) {
   if (s.size() != 8) throw Fault(at, "wants eight hexadecimal digits");
   u64 v = 0;
   for (char const c : s) {
@@ -16,17 +16,17 @@
     if (d < 0) throw Fault(at, "wants eight hexadecimal digits");
     v = v * 16 + static_cast<u64>(d);
   }
-  return Gen(v);
+  return Generation(v);
 }
 
-std::string gen_str(Gen g) {
+std::string gen_str(Generation g) {
   char b[20];
   std::snprintf(b, sizeof b, "%08llx", static_cast<unsigned long long>(g.v));
   return b;
 }
 
-schema::LaneKind parse_kind(std::string const& s, std::string const& at) {
-  using K = schema::LaneKind;
+schema::RouteKind parse_kind(std::string const& s, std::string const& at) {
+  using K = schema::RouteKind;
   if (s == "idempotent") return K::idempotent;
   if (s == "effectful") return K::effectful;
   if (s == "keyed") return K::keyed;
@@ -34,8 +34,8 @@
   throw Fault(at, "no such kind: '" + s + "'");
 }
 
-std::string kind_str(schema::LaneKind k) {
-  using K = schema::LaneKind;
+std::string kind_str(schema::RouteKind k) {
+  using K = schema::RouteKind;
   switch (k) {
     case K::idempotent: return "idempotent";
     case K::effectful: return "effectful";
@@ -135,25 +135,25 @@
 }
 
 // The items of one call; each name stands once, in the order in which they came.
-class Gathered {
+class ChangeBuilder {
  public:
-  void add(Item it, std::string const& at) {
+  void add(ConfigItem it, std::string const& at) {
     auto const [i, fresh] = at_.try_emplace(it.key, items_.size());
     if (fresh) {
       items_.push_back(std::move(it));
       return;
     }
     // The highest version of a name holds, within one call too.
-    Item& o = items_[i->second];
+    ConfigItem& o = items_[i->second];
     if (it.gen > o.gen)
       o = std::move(it);
     else if (it.gen == o.gen && !same_item(it, o))
       throw Fault(at, "two bodies under one generation");
   }
-  std::vector<Item> take() { return std::move(items_); }
+  std::vector<ConfigItem> take() { return std::move(items_); }
 
  private:
-  std::vector<Item> items_;
+  std::vector<ConfigItem> items_;
   std::unordered_map<std::string, std::size_t> at_;
 };
 
@@ -198,16 +198,17 @@
   if (r < 0 || r >= 1) throw Fault(at + ".allowance.reserve", "wants a share from 0 to below 1");
 }
 
-Amendment read_checked(rapidjson::Document const& d) {
-  schema::Amend am;
+ConfigChange read_checked(rapidjson::Document const& d) {
+  schema::AmendRequest am;
   json::read(static_cast<Value const&>(d), "", am);
-  Amendment out;
-  Gathered got;
+  ConfigChange out;
+  ChangeBuilder got;
   if (am.upsert) {
     Value const& up = *member(d, "upsert");
     if (am.upsert->limits) check_limits(*am.upsert->limits);
     if (am.upsert->limits)
-      got.add(Item{"l/", am.upsert->limits->generation, false, json::dump(*member(up, "limits"))}, "upsert.limits");
+      got.add(ConfigItem{"l/", am.upsert->limits->generation, false, json::dump(*member(up, "limits"))},
+              "upsert.limits");
     if (am.upsert->sockets) {
       Value const& socks = *member(up, "sockets");
       for (u32 i = 0; i < am.upsert->sockets->size(); ++i) {
@@ -227,7 +228,7 @@
           // The body keeps the policy as it was sent, beside its host.
           std::string const b =
               "{\"host\":" + json::dump(*member(socks[i], "host")) + ",\"policy\":" + json::dump(pols[j]) + "}";
-          got.add(Item{"r/" + p.name, p.generation, false, b}, at + ".name");
+          got.add(ConfigItem{"r/" + p.name, p.generation, false, b}, at + ".name");
         }
       }
     }
@@ -239,7 +240,7 @@
         check_name(p.name, at + ".name");
         check_most(p.coldS, at + ".coldS");
         check_most(p.coldRateS, at + ".coldRateS");
-        got.add(Item{"s/" + p.name, p.generation, false, json::dump(pools[i])}, at + ".name");
+        got.add(ConfigItem{"s/" + p.name, p.generation, false, json::dump(pools[i])}, at + ".name");
       }
     }
   }
@@ -254,14 +255,15 @@
         for (auto const& k : *c.keys)
           if (auto const [h, fresh] = holder.try_emplace(k, c.name); !fresh && h->second != c.name)
             throw Fault(at + ".keys", "a key that '" + h->second + "' holds too");
-      got.add(Item{"c/" + c.name, c.generation, false, json::dump(cs[i])}, at + ".name");
+      got.add(ConfigItem{"c/" + c.name, c.generation, false, json::dump(cs[i])}, at + ".name");
     }
   }
   if (am.remove) {
-    auto drop = [&](std::optional<std::vector<schema::Drop>> const& l, std::string const& pre, std::string const& at) {
+    auto drop = [&](std::optional<std::vector<schema::ItemRemoval>> const& l, std::string const& pre,
+                    std::string const& at) {
       if (!l) return;
       for (auto const& x : *l)
-        got.add(Item{pre + x.name, x.generation, true, ""}, at);
+        got.add(ConfigItem{pre + x.name, x.generation, true, ""}, at);
     };
     drop(am.remove->routes, "r/", "remove.routes");
     drop(am.remove->pools, "s/", "remove.pools");
@@ -273,7 +275,7 @@
 }
 }  // namespace
 
-Amendment read_amend(std::string_view body) {
+ConfigChange read_amend(std::string_view body) {
   rapidjson::Document const d = json::parse(body);
   try {
     return read_checked(d);
@@ -294,25 +296,25 @@
 }
 }  // namespace
 
-bool same_item(Item const& a, Item const& b) {
+bool same_item(ConfigItem const& a, ConfigItem const& b) {
   if (a.key != b.key || a.gen != b.gen || a.gone != b.gone) return false;
   if (a.body == b.body) return true;
   rapidjson::Document const x = bare(a.body), y = bare(b.body);
   return !x.HasParseError() && !y.HasParseError() && x == y;
 }
 
-Joined join(std::map<std::string, Item>& items, Amendment const& a, std::string& field) {
-  std::map<std::string_view, Item const*> put;
+MergeResult join(std::map<std::string, ConfigItem>& items, ConfigChange const& a, std::string& field) {
+  std::map<std::string_view, ConfigItem const*> put;
   for (auto const& it : a.items) {
     auto const cur = items.find(it.key);
     if (cur == items.end() || it.gen > cur->second.gen) {
       put.emplace(it.key, &it);
     } else if (it.gen == cur->second.gen && !same_item(it, cur->second)) {
       field = it.key;
-      return Joined::clash;
+      return MergeResult::clash;
     }
   }
-  for (Need const& n : a.needs) {
+  for (ServiceReference const& n : a.needs) {
     std::string const k = "s/" + n.service;
     auto const cur = items.find(k);
     auto const own = put.find(k);
@@ -322,26 +324,26 @@
     if (!known && put.count(n.key) == 0) known = cur != items.end();
     if (!known) {
       field = n.field;
-      return Joined::unknown_service;
+      return MergeResult::unknown_service;
     }
   }
-  if (put.empty()) return Joined::same;
+  if (put.empty()) return MergeResult::same;
   for (auto const& [k, p] : put)
     items[p->key] = *p;
-  return Joined::changed;
+  return MergeResult::changed;
 }
 
-bool brings_news(std::vector<Item> const& items, Amendment const& a) {
-  std::unordered_map<std::string_view, Gen> put;
-  for (Item const& i : a.items)
+bool brings_news(std::vector<ConfigItem> const& items, ConfigChange const& a) {
+  std::unordered_map<std::string_view, Generation> put;
+  for (ConfigItem const& i : a.items)
     put.emplace(i.key, i.gen);
   std::size_t old = 0;
-  for (Item const& i : items)
+  for (ConfigItem const& i : items)
     if (auto const it = put.find(i.key); it != put.end() && it->second <= i.gen) ++old;
   return old < put.size();
 }
 
-std::string render_read(std::map<std::string, Item> const& items) {
+std::string render_read(std::map<std::string, ConfigItem> const& items) {
   std::string lim, pools, customers;
   std::map<std::string, std::string> hosts;
   for (auto const& [k, it] : items) {
@@ -372,19 +374,19 @@
   return out + "\"sockets\":[" + socks + "],\"pools\":[" + pools + "]}";
 }
 
-Compiled Compiled::from(std::vector<Item> const& items) {
-  Compiled c;
-  for (Item const& it : items)
+CompiledConfiguration CompiledConfiguration::from(std::vector<ConfigItem> const& items) {
+  CompiledConfiguration c;
+  for (ConfigItem const& it : items)
     c.put(it);
   return c;
 }
 
 namespace {
-LaneP lane_of(Value const& v) {
+RoutePtr lane_of(Value const& v) {
   schema::Policy p;
   json::read(need(v, "policy"), "", p);
   if (p.selector.pathPrefix.empty()) throw Fault("selector.pathPrefix", "empty");
-  auto l = std::make_shared<Lane>();
+  auto l = std::make_shared<Route>();
   l->name = p.name;
   json::read(need(v, "host"), "host", l->host);
   l->prefix = p.selector.pathPrefix;
@@ -396,8 +398,8 @@
     l->to.emplace_back(p.actuation.service.value_or(""), 1.0);
   }
   l->deadline = p.actuation.deadlineS;
-  l->setpoint = p.setpointS.value_or(l->deadline / 4);
-  l->max_tries = std::max<u32>(1, p.actuation.maxTries.value_or(1));
+  l->latency_target = p.setpointS.value_or(l->deadline / 4);
+  l->max_attempts = std::max<u32>(1, p.actuation.maxTries.value_or(1));
   l->rank = p.rank.value_or(0);
   l->keyless = p.keyless.value_or(false);
   if (p.actuation.homeRegions) l->homes = *p.actuation.homeRegions;
@@ -405,7 +407,7 @@
   return l;
 }
 
-TenantP tenant_from(Value const& v) {
+TenantPtr tenant_from(Value const& v) {
   schema::Customer c;
   json::read(v, "", c);
   auto t = std::make_shared<Tenant>();
@@ -418,10 +420,10 @@
   return t;
 }
 
-PoolDef pool_from(Value const& v) {
+ServiceConfig pool_from(Value const& v) {
   schema::Pool p;
   json::read(v, "", p);
-  PoolDef q;
+  ServiceConfig q;
   q.name = p.name;
   if (p.connLimit) q.conn_limit = *p.connLimit;
   if (p.selfDedupes) q.dedupes = *p.selfDedupes;
@@ -445,18 +447,18 @@
 }
 }  // namespace
 
-void Compiled::drop(std::string const& key) {
-  if (auto const it = lanes_.find(key); it != lanes_.end()) {
-    LaneP const l = it->second;
+void CompiledConfiguration::drop(std::string const& key) {
+  if (auto const it = routes_.find(key); it != routes_.end()) {
+    RoutePtr const l = it->second;
     if (l->prefix.back() == '/')
       unplace(exact_, l->host + l->prefix, l);
     else
       unplace(odd_, l->host, l);
     if (--ranks_[l->rank] == 0) ranks_.erase(l->rank);
-    lanes_.erase(it);
+    routes_.erase(it);
   }
   if (auto const it = tenants_.find(key); it != tenants_.end()) {
-    TenantP const t = it->second;
+    TenantPtr const t = it->second;
     for (std::string const& k : t->keys)
       unplace(by_key_, k, t);
     tenants_.erase(it);
@@ -464,7 +466,7 @@
   if (key[0] == 's') pools_.erase(key.substr(2));
 }
 
-void Compiled::put(Item const& it) {
+void CompiledConfiguration::put(ConfigItem const& it) {
   auto const [g, fresh] = gens_.try_emplace(it.key, it.gen);
   if (!fresh && it.gen <= g->second) return;  // one body a generation: nothing new
   g->second = it.gen;
@@ -484,29 +486,29 @@
         break;
       }
       case 's': {
-        PoolDef q = pool_from(v);
+        ServiceConfig q = pool_from(v);
         pools_[it.key.substr(2)] = std::move(q);  // by the key, by which it is dropped
         break;
       }
       case 'c': {
-        TenantP const t = tenant_from(v);
+        TenantPtr const t = tenant_from(v);
         for (std::string const& k : t->keys)
           place(by_key_[k], t);
         tenants_[it.key] = t;
         break;
       }
       default: {
-        LaneP const l = lane_of(v);
+        RoutePtr const l = lane_of(v);
         if (l->prefix.back() == '/') {
           place(exact_[l->host + l->prefix], l);
         } else {
           auto& o = odd_[l->host];
           place(o, l);
           std::stable_sort(o.begin(), o.end(),
-                           [](LaneP const& a, LaneP const& b) { return a->prefix.size() > b->prefix.size(); });
+                           [](RoutePtr const& a, RoutePtr const& b) { return a->prefix.size() > b->prefix.size(); });
         }
         ++ranks_[l->rank];
-        lanes_[it.key] = l;
+        routes_[it.key] = l;
       }
     }
   } catch (json::Fault const&) {
@@ -515,10 +517,10 @@
   }
 }
 
-LaneP Compiled::find(std::string_view host, std::string_view path) const {
-  LaneP best;
+RoutePtr CompiledConfiguration::find(std::string_view host, std::string_view path) const {
+  RoutePtr best;
   if (auto const it = odd_.find(host); it != odd_.end())
-    for (LaneP const& l : it->second)
+    for (RoutePtr const& l : it->second)
       if (path.substr(0, l->prefix.size()) == l->prefix) {
         best = l;
         break;
@@ -534,26 +536,26 @@
   return best;
 }
 
-u32 Compiled::lowest_rank() const {
+u32 CompiledConfiguration::lowest_rank() const {
   return ranks_.empty() ? 0 : ranks_.rbegin()->first;
 }
 
-TenantP Compiled::tenant_of(std::string_view key) const {
+TenantPtr CompiledConfiguration::tenant_of(std::string_view key) const {
   auto const it = by_key_.find(key);
   return it == by_key_.end() ? nullptr : it->second.front();
 }
-TenantP Compiled::tenant(std::string_view name) const {
+TenantPtr CompiledConfiguration::tenant(std::string_view name) const {
   auto const it = tenants_.find("c/" + std::string(name));
   return it == tenants_.end() ? nullptr : it->second;
 }
-std::vector<TenantP> Compiled::tenants() const {
-  std::vector<TenantP> v;
+std::vector<TenantPtr> CompiledConfiguration::tenants() const {
+  std::vector<TenantPtr> v;
   for (auto const& [k, t] : tenants_)
     v.push_back(t);
   return v;
 }
 
-PoolDef const* Compiled::pool(std::string const& n) const {
+ServiceConfig const* CompiledConfiguration::pool(std::string const& n) const {
   auto const it = pools_.find(n);
   return it == pools_.end() ? nullptr : &it->second;
 }
--- a/packages/configuration/include/configuration/json.hpp
+++ b/packages/configuration/include/configuration/json.hpp
@@ -21,10 +21,10 @@
       : std::runtime_error((f.empty() ? std::string("body") : f) + ": " + why), field(f) {}
 };
 
-Gen parse_gen(std::string const& s, std::string const& at);
-std::string gen_str(Gen g);
-schema::LaneKind parse_kind(std::string const& s, std::string const& at);
-std::string kind_str(schema::LaneKind k);
+Generation parse_gen(std::string const& s, std::string const& at);
+std::string gen_str(Generation g);
+schema::RouteKind parse_kind(std::string const& s, std::string const& at);
+std::string kind_str(schema::RouteKind k);
 std::string dump(Value const& v);
 // Throws Fault unless the whole text is one JSON object, nested no deeper than `deepest`:
 // reading, writing and walking it take stack for each level.
@@ -32,17 +32,17 @@
 rapidjson::Document parse(std::string_view text);
 
 template <class T>
-struct IsOpt : std::false_type {};
+struct IsOptional : std::false_type {};
 template <class T>
-struct IsOpt<std::optional<T>> : std::true_type {};
+struct IsOptional<std::optional<T>> : std::true_type {};
 
 template <class T>
 void read(Value const& v, std::string const& at, T& x) {
-  if constexpr (IsOpt<T>::value) {
+  if constexpr (IsOptional<T>::value) {
     typename T::value_type y{};
     read(v, at, y);
     x = std::move(y);
-  } else if constexpr (codec::IsVec<T>::value) {
+  } else if constexpr (codec::IsVector<T>::value) {
     if (!v.IsArray()) throw Fault(at, "wants a list");
     x.clear();
     u32 i = 0;
@@ -59,16 +59,16 @@
       std::string const p = at.empty() ? std::string(n) : at + "." + n;
       auto const it = v.FindMember(n);
       using F = std::decay_t<decltype(f)>;
-      if (it == v.MemberEnd() || (it->value.IsNull() && IsOpt<F>::value)) {
-        if constexpr (!IsOpt<F>::value) throw Fault(p, "missing");
+      if (it == v.MemberEnd() || (it->value.IsNull() && IsOptional<F>::value)) {
+        if constexpr (!IsOptional<F>::value) throw Fault(p, "missing");
       } else {
         read(it->value, p, f);
       }
     });
-  } else if constexpr (std::is_same_v<T, Gen>) {
+  } else if constexpr (std::is_same_v<T, Generation>) {
     if (!v.IsString()) throw Fault(at, "wants eight hexadecimal digits");
     x = parse_gen(std::string(v.GetString(), v.GetStringLength()), at);
-  } else if constexpr (std::is_same_v<T, schema::LaneKind>) {
+  } else if constexpr (std::is_same_v<T, schema::RouteKind>) {
     if (!v.IsString()) throw Fault(at, "wants a kind");
     x = parse_kind(std::string(v.GetString(), v.GetStringLength()), at);
   } else if constexpr (std::is_same_v<T, std::string>) {
@@ -92,7 +92,7 @@
 
 template <class W, class T>
 void write(W& w, T const& x) {
-  if constexpr (codec::IsVec<T>::value) {
+  if constexpr (codec::IsVector<T>::value) {
     w.StartArray();
     for (auto const& e : x)
       write(w, e);
@@ -103,7 +103,7 @@
       auto const& f = hana::second(acc)(x);
       using F = std::decay_t<decltype(f)>;
       char const* const n = hana::to<char const*>(hana::first(acc));
-      if constexpr (IsOpt<F>::value) {
+      if constexpr (IsOptional<F>::value) {
         if (!f) return;
         w.Key(n);
         write(w, *f);
@@ -113,9 +113,9 @@
       }
     });
     w.EndObject();
-  } else if constexpr (std::is_same_v<T, Gen>) {
+  } else if constexpr (std::is_same_v<T, Generation>) {
     w.String(gen_str(x).c_str());
-  } else if constexpr (std::is_same_v<T, schema::LaneKind>) {
+  } else if constexpr (std::is_same_v<T, schema::RouteKind>) {
     w.String(kind_str(x).c_str());
   } else if constexpr (codec::IsStrong<T>::value) {
     write(w, x.v);
--- a/packages/configuration/include/configuration/schema.hpp
+++ b/packages/configuration/include/configuration/schema.hpp
@@ -10,7 +10,7 @@
 
 namespace dockbend::schema {
 
-enum class LaneKind : u8 { idempotent = 1, effectful = 2, keyed = 3, inflow = 4 };
+enum class RouteKind : u8 { idempotent = 1, effectful = 2, keyed = 3, inflow = 4 };
 
 struct Selector {
   DB_RECORD(Selector, (std::string, pathPrefix));
@@ -25,8 +25,8 @@
             (std::optional<std::vector<std::string>>, homeRegions));
 };
 struct Policy {
-  DB_RECORD(Policy, (std::string, name), (LaneKind, kind), (std::optional<double>, setpointS),
-            (std::optional<u32>, rank), (std::optional<bool>, keyless), (Gen, generation), (Selector, selector),
+  DB_RECORD(Policy, (std::string, name), (RouteKind, kind), (std::optional<double>, setpointS),
+            (std::optional<u32>, rank), (std::optional<bool>, keyless), (Generation, generation), (Selector, selector),
             (Actuation, actuation));
 };
 struct Socket {
@@ -35,7 +35,7 @@
 struct Pool {
   DB_RECORD(Pool, (std::string, name), (std::optional<std::string>, healthPath), (std::optional<u32>, connLimit),
             (std::optional<bool>, selfDedupes), (std::optional<double>, coldS), (std::optional<double>, coldRateS),
-            (Gen, generation));
+            (Generation, generation));
 };
 // A partner's budget of errands, drawn from by all proxies together. Invariant
 // after check: rate > 0, burst >= 1, 0 <= reserve < 1.
@@ -46,25 +46,25 @@
 struct Customer {
   DB_RECORD(Customer, (std::string, name), (std::optional<std::vector<std::string>>, keys), (std::optional<u32>, rank),
             (std::optional<std::vector<std::string>>, homeRegions), (std::optional<Allowance>, allowance),
-            (Gen, generation));
+            (Generation, generation));
 };
 struct Limits {
   DB_RECORD(Limits, (std::optional<u64>, headerBytes), (std::optional<u64>, bodyBytes),
-            (std::optional<double>, headerDeadlineS), (std::optional<double>, idleTimeoutS), (Gen, generation));
+            (std::optional<double>, headerDeadlineS), (std::optional<double>, idleTimeoutS), (Generation, generation));
 };
 struct Upsert {
   DB_RECORD(Upsert, (std::optional<Limits>, limits), (std::optional<std::vector<Socket>>, sockets),
             (std::optional<std::vector<Pool>>, pools), (std::optional<std::vector<Customer>>, customers));
 };
-struct Drop {
-  DB_RECORD(Drop, (std::string, name), (Gen, generation));
+struct ItemRemoval {
+  DB_RECORD(ItemRemoval, (std::string, name), (Generation, generation));
 };
 struct Remove {
-  DB_RECORD(Remove, (std::optional<std::vector<Drop>>, routes), (std::optional<std::vector<Drop>>, pools),
-            (std::optional<std::vector<Drop>>, services), (std::optional<std::vector<Drop>>, customers));
+  DB_RECORD(Remove, (std::optional<std::vector<ItemRemoval>>, routes), (std::optional<std::vector<ItemRemoval>>, pools),
+            (std::optional<std::vector<ItemRemoval>>, services), (std::optional<std::vector<ItemRemoval>>, customers));
 };
-struct Amend {
-  DB_RECORD(Amend, (std::optional<Upsert>, upsert), (std::optional<Remove>, remove));
+struct AmendRequest {
+  DB_RECORD(AmendRequest, (std::optional<Upsert>, upsert), (std::optional<Remove>, remove));
 };
 
 // Servers' calls.
@@ -73,14 +73,14 @@
             (std::optional<std::string>, generation), (double, capacity), (std::string, state),
             (std::optional<double>, coldLeftS), (u64, callSeq));
 };
-struct HeartbeatRet {
-  DB_RECORD(HeartbeatRet, (std::optional<std::string>, beatTarget));
+struct HeartbeatResponse {
+  DB_RECORD(HeartbeatResponse, (std::optional<std::string>, beatTarget));
 };
-struct ResolveRet {
-  DB_RECORD(ResolveRet, (std::vector<std::string>, addresses), (double, ttlS));
+struct ResolveResponse {
+  DB_RECORD(ResolveResponse, (std::vector<std::string>, addresses), (double, ttlS));
 };
-struct FaultRet {
-  DB_RECORD(FaultRet, (std::string, fault));
+struct ErrorResponse {
+  DB_RECORD(ErrorResponse, (std::string, error_response, fault));
 };
 
 }  // namespace dockbend::schema
--- a/packages/consensus/include/consensus/acceptor.hpp
+++ b/packages/consensus/include/consensus/acceptor.hpp
@@ -10,43 +10,44 @@
 // life that the asker named. sum is that of the rows of state().
 class Acceptor {
  public:
-  Acceptor(Life life, Ballot promised, std::optional<State> st) : life_(life), promised_(promised), st_(std::move(st)) {
+  Acceptor(Incarnation incarnation, Ballot promised, std::optional<ReplicatedState> st)
+      : incarnation_(incarnation), promised_(promised), st_(std::move(st)) {
     if (!st_) return;
     move_sum(rows_between(nullptr, *st_).sum);
     changes_.moved({}, *st_);
   }
 
-  struct Step {
+  struct PendingWrite {
     bool write = false;          // persist head() and `rows` before replying
-    std::vector<ValueRow> rows;  // by which state() differs from what it was
+    std::vector<StateRow> rows;  // by which state() differs from what it was
     operator bool() const { return write; }
   };
-  Step prepare(Prep const& p, PrepR& r);
-  Step accept(Acc const& a, AccR& r);
+  PendingWrite prepare(PrepareRequest const& p, PrepareResponse& r);
+  PendingWrite accept(AcceptRequest const& a, AcceptResponse& r);
 
-  Life life() const { return life_; }
+  Incarnation incarnation() const { return incarnation_; }
   Ballot promised() const { return promised_; }
-  std::optional<State> const& state() const { return st_; }
+  std::optional<ReplicatedState> const& state() const { return st_; }
   // Takes a value known to be committed (a majority holds it); a write if it is news.
-  Step learn(State const& s);
+  PendingWrite learn(ReplicatedState const& s);
   // What stands beside the rows on disk; its seq is the writer's.
-  Head head() const;
-  RowSum sum() const { return sum_; }
+  VoteHeader head() const;
+  RowChecksum sum() const { return sum_; }
   // From the value of `have` to state(), if that value was held here.
-  std::optional<Delta> since(Ballot have) const { return st_ ? changes_.since(have, *st_) : std::nullopt; }
+  std::optional<StateDelta> since(Ballot have) const { return st_ ? changes_.since(have, *st_) : std::nullopt; }
 
  private:
-  void move_sum(RowSum by) {
+  void move_sum(RowChecksum by) {
     sum_.sum += by.sum;
     sum_.count += by.count;
   }
-  Step take(RowDiff d);
+  PendingWrite take(RowDiff d);
 
-  Life life_;
+  Incarnation incarnation_;
   Ballot promised_;
-  std::optional<State> st_;
-  RowSum sum_;
-  Changes changes_;
+  std::optional<ReplicatedState> st_;
+  RowChecksum sum_;
+  ChangeHistory changes_;
 };
 
 }  // namespace dockbend
--- a/packages/consensus/include/consensus/change_history.hpp
+++ b/packages/consensus/include/consensus/change_history.hpp
@@ -11,12 +11,12 @@
 // last; at_ names for every row that is not as it was under line_.front() the last of them
 // that moved it. So the rows moved after `have` lead from have's value to the newest, by
 // whatever way the values went: a ballot has one value.
-class Changes {
+class ChangeHistory {
  public:
   // The value of bal came of the one before by these rows.
-  void moved(std::vector<ValueRow> const& rows, State const& now);
+  void moved(std::vector<StateRow> const& rows, ReplicatedState const& now);
   // None: have's value was not held here, or is too long ago.
-  std::optional<Delta> since(Ballot have, State const& now) const;
+  std::optional<StateDelta> since(Ballot have, ReplicatedState const& now) const;
 
  private:
   static std::size_t constexpr most = 4096;
--- a/packages/consensus/include/consensus/round_timeout.hpp
+++ b/packages/consensus/include/consensus/round_timeout.hpp
@@ -10,19 +10,19 @@
 
 namespace dockbend {
 
-class Patience {
+class RoundTimeout {
  public:
-  explicit Patience(double bytes_per_s) : rate_(std::max(bytes_per_s, 1.0)) {}
+  explicit RoundTimeout(double bytes_per_s) : rate_(std::max(bytes_per_s, 1.0)) {}
 
-  void asked(std::string const& ip, std::size_t bytes, Secs now) {
+  void asked(std::string const& ip, std::size_t bytes, Seconds now) {
     Way& w = way(ip);
     if (w.at < 0) w.at = now;
     w.bytes += bytes;
   }
-  void answered(std::string const& ip, Secs now) {
+  void answered(std::string const& ip, Seconds now) {
     Way& w = way(ip);
     if (w.at < 0) return;
-    Secs const took = now - w.at;
+    Seconds const took = now - w.at;
     // Short letters say what an answer takes, its sync included; long ones what the link carries.
     if (w.bytes < bulk)
       w.answer += 0.2 * (took - w.answer);
@@ -39,8 +39,8 @@
     }
   }
   // By when the others needed for a majority should have answered, from the round's beginning.
-  Secs of(std::vector<std::string> const& members) const {
-    std::vector<Secs> v;
+  Seconds of(std::vector<std::string> const& members) const {
+    std::vector<Seconds> v;
     for (std::string const& ip : members) {
       auto const it = ways_.find(ip);
       Way const w = it != ways_.end() ? it->second : Way{rate_};
@@ -54,10 +54,10 @@
 
  private:
   static std::size_t constexpr bulk = 16384;
-  static Secs constexpr least = 0.8, most = 30;
+  static Seconds constexpr least = 0.8, most = 30;
   struct Way {
     double rate = 1;
-    Secs answer = 0.1, at = -1;
+    Seconds answer = 0.1, at = -1;
     std::size_t bytes = 0;  // asked and not answered
   };
   Way& way(std::string const& ip) { return ways_.try_emplace(ip, Way{rate_}).first->second; }
--- a/packages/consensus/include/consensus/state_chunk.hpp
+++ b/packages/consensus/include/consensus/state_chunk.hpp
@@ -10,30 +10,30 @@
 // Invariants: part has every short list of the value of part.bal, and of its items those after
 // `after` up to `upto`, and besides those up to `after` that changed since the value of `base`.
 // base 0: nothing that came before counts, and after is empty.
-struct Piece {
-  DB_RECORD(Piece, (Ballot, base), (std::string, after), (std::string, upto), (bool, last), (u64, sum), (u64, count),
-            (State, part));
+struct StateChunk {
+  DB_RECORD(StateChunk, (Ballot, base), (std::string, after), (std::string, upto), (bool, last), (u64, sum),
+            (u64, count), (ReplicatedState, part));
 };
 
 // What comes next for who has the items up to `after` of the value of `have`.
-Piece piece_of(State const& s, RowSum sum, Ballot have, std::string const& after,
-               std::function<std::optional<Delta>(Ballot)> const& since, std::size_t most);
+StateChunk piece_of(ReplicatedState const& s, RowChecksum sum, Ballot have, std::string const& after,
+                    std::function<std::optional<StateDelta>(Ballot)> const& since, std::size_t most);
 
 // Who gathers them. Invariant: items_ are those up to after_ of the value of have_.
-class Gather {
+class ChunkAssembler {
  public:
   Ballot have() const { return have_; }
   std::string const& after() const { return after_; }
   struct Took {
-    bool used = false;           // it was the next one; ask on
-    std::optional<State> whole;  // once all are there and the rows add up; else it begins anew
+    bool used = false;                     // it was the next one; ask on
+    std::optional<ReplicatedState> whole;  // once all are there and the rows add up; else it begins anew
   };
-  Took take(Piece const& p);
+  Took take(StateChunk const& p);
 
  private:
   Ballot have_;
   std::string after_;
-  std::map<std::string, Item> items_;
+  std::map<std::string, ConfigItem> items_;
 };
 
 }  // namespace dockbend
--- a/packages/consensus/include/consensus/vote_writer.hpp
+++ b/packages/consensus/include/consensus/vote_writer.hpp
@@ -11,9 +11,9 @@
 
 // One vote on its way to the disk: it may be written only on top of the vote `base`.
 struct VoteWrite {
-  std::vector<ValueRow> rows;
-  Head head;     // head.seq is this vote's own number
-  u64 base = 0;  // the vote that the disk must hold
+  std::vector<StateRow> rows;
+  VoteHeader head;  // head.seq is this vote's own number
+  u64 base = 0;     // the vote that the disk must hold
 };
 
 // Takes votes in the order they come; writes one whole or not at all, and not at all unless
@@ -35,9 +35,9 @@
   VoteWriter(D& d, u64 seq) : d_(d), sure_(seq), last_(seq) {}
 
   // done: whether this vote, and with it all before it, is on disk.
-  void write(Head head, std::vector<ValueRow> rows, Done done) {
+  void write(VoteHeader head, std::vector<StateRow> rows, Done done) {
     VoteWrite w;
-    for (ValueRow& r : rows) {
+    for (StateRow& r : rows) {
       std::string const k = r.key;
       dirty_[k] = std::move(r);
     }
@@ -67,7 +67,7 @@
       return;
     // Newer rows come later and hold.
     for (VoteWrite& w : under_way_)
-      for (ValueRow& r : w.rows) {
+      for (StateRow& r : w.rows) {
         std::string const k = r.key;
         dirty_[k] = std::move(r);
       }
@@ -77,7 +77,7 @@
   D& d_;
   u64 sure_, last_;
   std::deque<VoteWrite> under_way_;
-  std::map<std::string, ValueRow> dirty_;
+  std::map<std::string, StateRow> dirty_;
 };
 
 }  // namespace dockbend
--- a/packages/consensus/membership.cpp
+++ b/packages/consensus/membership.cpp
@@ -6,9 +6,9 @@
 namespace dockbend {
 namespace {
 // How many whole disks the worst loss of k groups takes.
-long worst(State const& s, u32 k, std::function<std::string(Member const&)> const& group) {
+long worst(ReplicatedState const& s, u32 k, std::function<std::string(Member const&)> const& group) {
   std::map<std::string, long> n;
-  for (Member const& m : s.roster)
+  for (Member const& m : s.membership)
     if (m.whole) ++n[group(m)];
   std::vector<long> v;
   for (auto const& [g, x] : n)
@@ -21,37 +21,38 @@
 }
 }  // namespace
 
-Margin margin_of(State const& s, Tolerance const& t) {
+FailureMargin margin_of(ReplicatedState const& s, FailureTolerance const& t) {
   long whole = 0;
-  for (Member const& m : s.roster)
+  for (Member const& m : s.membership)
     whole += m.whole ? 1 : 0;
   long const left = whole - static_cast<long>(s.majority());
   // A member that has not said where it is stands alone.
   auto const zone = [](Member const& m) { return m.zone.empty() ? m.ip : m.zone; };
   auto const region = [](Member const& m) { return m.region.empty() ? m.ip : m.region; };
-  Margin r;
+  FailureMargin r;
   r.machines = left - worst(s, t.machines, [](Member const& m) { return m.ip; });
   r.zones = left - worst(s, t.zones, zone);
   r.regions = left - worst(s, t.regions, region);
   return r;
 }
 
-std::string why_not(State const& s, std::string const& ip, Tolerance const& t) {
+std::string why_not(ReplicatedState const& s, std::string const& ip, FailureTolerance const& t) {
   Member const* const m = s.member(ip);
   if (m == nullptr) return "no such member: " + ip;
-  State after = s;
-  if (!after.dismiss(ip, m->life)) {
-    if (s.roster.size() < 2) return "it is the last member";
-    if (!s.may_shrink_to(s.roster.size() - 1))
-      return "keys won while there were " + std::to_string(std::max<std::size_t>(s.widest, s.roster.size())) +
+  ReplicatedState after = s;
+  if (!after.dismiss(ip, m->incarnation)) {
+    if (s.membership.size() < 2) return "it is the last member";
+    if (!s.may_shrink_to(s.membership.size() - 1))
+      return "keys won while there were " +
+             std::to_string(std::max<std::size_t>(s.largest_membership, s.membership.size())) +
              " members still bind; later it may go";
     return "too few of the others hold all keys yet";
   }
-  Margin const a = margin_of(s, t), b = margin_of(after, t);
+  FailureMargin const a = margin_of(s, t), b = margin_of(after, t);
   // What the roster does not bear today either, a removal may leave as it is, but not worsen.
   auto const harms = [](long before, long now) { return now < 0 && now < before; };
   auto const of = [](u32 n, char const* one) { return std::to_string(n) + " " + one + (n == 1 ? "" : "s"); };
-  std::string const tail = " would leave no majority of the " + std::to_string(after.roster.size()) + " others";
+  std::string const tail = " would leave no majority of the " + std::to_string(after.membership.size()) + " others";
   if (t.machines > 0 && harms(a.machines, b.machines))
     return "without it the loss of " + of(t.machines, "machine") + tail;
   if (t.zones > 0 && harms(a.zones, b.zones)) return "without it the loss of " + of(t.zones, "zone") + tail;
@@ -59,20 +60,21 @@
   return "";
 }
 
-bool take_out(State& s, std::string const& ip, Life life, Tolerance const& t, std::string& why) {
+bool take_out(ReplicatedState& s, std::string const& ip, Incarnation incarnation, FailureTolerance const& t,
+              std::string& why) {
   why.clear();
   Member const* const m = s.member(ip);
-  if (m == nullptr || m->life != life) return false;  // gone already
+  if (m == nullptr || m->incarnation != incarnation) return false;  // gone already
   why = why_not(s, ip, t);
-  return why.empty() && s.dismiss(ip, life);
+  return why.empty() && s.dismiss(ip, incarnation);
 }
 
-void RosterWatch::see(State const& s, Secs now) {
+void MembershipMonitor::see(ReplicatedState const& s, Seconds now) {
   if (first_ || s.epoch != epoch_) epoch_at_ = now;
   epoch_ = s.epoch;
-  std::map<std::string, Life> next;
-  for (Member const& m : s.roster) {
-    next[m.ip] = m.life;
+  std::map<std::string, Incarnation> next;
+  for (Member const& m : s.membership) {
+    next[m.ip] = m.incarnation;
     if (!first_ && known_.count(m.ip) == 0) {
       came_[m.ip] = now;
       used_.erase(m.ip);
@@ -86,21 +88,22 @@
   first_ = false;
 }
 
-void RosterWatch::heard(std::string const& ip, Secs at) {
+void MembershipMonitor::heard(std::string const& ip, Seconds at) {
   if (auto const it = heard_.find(ip); it != heard_.end()) it->second = std::max(it->second, at);
 }
 
-void RosterWatch::forgive(Secs now) {
+void MembershipMonitor::forgive(Seconds now) {
   forgiven_ = now;
 }
 
-Secs RosterWatch::silence(std::string const& ip, Secs now) const {
+Seconds MembershipMonitor::silence(std::string const& ip, Seconds now) const {
   auto const it = heard_.find(ip);
   return it == heard_.end() ? 0 : now - std::max(it->second, forgiven_);
 }
 
-Member const* RosterWatch::newcomer(State const& s, std::string const& zone, std::string const& me, Secs now) const {
-  for (Member const& m : s.roster) {
+Member const* MembershipMonitor::newcomer(ReplicatedState const& s, std::string const& zone, std::string const& me,
+                                          Seconds now) const {
+  for (Member const& m : s.membership) {
     auto const it = came_.find(m.ip);
     if (m.ip == me || m.zone != zone || zone.empty() || it == came_.end() || used_.count(m.ip) > 0) continue;
     if (now - it->second <= p_.recent) return &m;
@@ -108,11 +111,12 @@
   return nullptr;
 }
 
-std::optional<RosterWatch::Swap> RosterWatch::swap(State const& s, std::string const& me, Secs now) const {
-  for (Member const& x : s.roster) {
-    Secs const q = silence(x.ip, now);
+std::optional<MembershipMonitor::Swap> MembershipMonitor::swap(ReplicatedState const& s, std::string const& me,
+                                                               Seconds now) const {
+  for (Member const& x : s.membership) {
+    Seconds const q = silence(x.ip, now);
     if (x.ip == me || x.zone.empty() || q < p_.silent) continue;
-    for (Member const& y : s.roster) {
+    for (Member const& y : s.membership) {
       auto const it = came_.find(y.ip);
       if (y.ip == x.ip || y.zone != x.zone || !y.whole || it == came_.end() || used_.count(y.ip) > 0) continue;
       if (y.ip != me && silence(y.ip, now) >= p_.silent) continue;
@@ -124,7 +128,7 @@
   return std::nullopt;
 }
 
-std::optional<Epoch> RosterWatch::settled(Secs now) const {
+std::optional<Epoch> MembershipMonitor::settled(Seconds now) const {
   if (first_ || now - epoch_at_ < p_.horizon) return std::nullopt;
   return epoch_;
 }
--- a/packages/consensus/proposer.cpp
+++ b/packages/consensus/proposer.cpp
@@ -5,11 +5,11 @@
 
 namespace dockbend {
 namespace {
-std::string id_of(std::string const& ip, Life l) {
+std::string id_of(std::string const& ip, Incarnation l) {
   return ip + "/" + std::to_string(l.v);
 }
 std::string id_of(Member const& m) {
-  return id_of(m.ip, m.life);
+  return id_of(m.ip, m.incarnation);
 }
 u64 ip_num(std::string const& ip) {
   unsigned a = 0, b = 0, c = 0, d = 0;
@@ -17,21 +17,22 @@
   return static_cast<u64>(a) << 24 | b << 16 | c << 8 | d;
 }
 // Does a majority of who decides about s say so? alone: its step is known to be won.
-bool has_quorum(State const& s, std::set<std::string> const& who, bool alone) {
+bool has_quorum(ReplicatedState const& s, std::set<std::string> const& who, bool alone) {
   auto said = [&](Member const& m) { return who.count(id_of(m)) > 0; };
   if (!alone) return s.stands(said);
-  return static_cast<std::size_t>(std::count_if(s.roster.begin(), s.roster.end(), said)) >= s.majority();
+  return static_cast<std::size_t>(std::count_if(s.membership.begin(), s.membership.end(), said)) >= s.majority();
 }
 }  // namespace
 
 Proposer::Proposer(std::string const& my_ip, Leads leads) : node_(ip_num(my_ip)), leads_(std::move(leads)) {}
 
-std::vector<Proposer::Out> Proposer::begin(State const& best, Change change, Secs now, std::optional<Epoch> known) {
+std::vector<Proposer::Out> Proposer::begin(ReplicatedState const& best, Change change, Seconds now,
+                                           std::optional<Epoch> known) {
   best_ = best;
   known_ = known;
   first_.reset();
   change_ = std::move(change);
-  saw(best.bal);
+  saw(best.ballot);
   bal_ = Ballot(++counter_ << 32 | node_);
   phase_ = Phase::preparing;
   done_ = won_ = false;
@@ -44,21 +45,21 @@
 
 std::vector<Proposer::Out> Proposer::ask_for_promises() {
   std::vector<Out> out;
-  for (auto const* l : {&best_.roster, &best_.was}) {
-    if (l == &best_.was && settled()) break;
+  for (auto const* l : {&best_.membership, &best_.previous_membership}) {
+    if (l == &best_.previous_membership && settled()) break;
     for (Member const& m : *l) {
       if (!asked_.insert(id_of(m)).second) continue;
       Out o;
       o.ip = m.ip;
-      o.prep = Prep{bal_, have(), m.life};
+      o.prep = PrepareRequest{bal_, have(), m.incarnation};
       out.push_back(std::move(o));
     }
   }
   return out;
 }
 
-std::vector<Proposer::Out> Proposer::on_prep(std::string const& from, PrepR const& r) {
-  if (phase_ != Phase::preparing || r.bal != bal_) return {};
+std::vector<Proposer::Out> Proposer::on_prep(std::string const& from, PrepareResponse const& r) {
+  if (phase_ != Phase::preparing || r.ballot != bal_) return {};
   check_ballot(r.promised);
   saw(r.promised);
   if (!r.ok) {
@@ -69,22 +70,22 @@
     return {};
   }
   std::vector<Out> out;
-  if ((r.full || !r.delta.empty()) && r.accepted > best_.bal) {
-    State s;
+  if ((r.full || !r.delta.empty()) && r.accepted > best_.ballot) {
+    ReplicatedState s;
     if (r.full) {
       s = read_state(r.state);
     } else {
       s = first_ ? *first_ : best_;
       if (!apply(s, read_delta(r.delta))) return {};  // not what we said that we have: no promise
     }
-    if (s.bal != r.accepted) throw codec::Malformed("a value under another ballot");
-    if (s.bal > best_.bal) {
+    if (s.ballot != r.accepted) throw codec::MalformedMessage("a value under another ballot");
+    if (s.ballot > best_.ballot) {
       if (!first_) first_ = std::move(best_);
       best_ = std::move(s);
       out = ask_for_promises();
     }
   }
-  promised_.insert(id_of(from, r.life));  // only now: a promise whose value can't be read is none
+  promised_.insert(id_of(from, r.incarnation));  // only now: a promise whose value can't be read is none
   if (has_quorum(best_, promised_, settled())) {
     auto more = try_accept();
     out.insert(out.end(), more.begin(), more.end());
@@ -94,35 +95,35 @@
 
 // Whose votes this round may need.
 std::vector<std::vector<Member> const*> Proposer::voters() const {
-  std::vector<std::vector<Member> const*> v{&best_.roster};
-  if (!settled()) v.push_back(&best_.was);
-  if (phase_ == Phase::accepting || won_) v.push_back(&next_.roster);
+  std::vector<std::vector<Member> const*> v{&best_.membership};
+  if (!settled()) v.push_back(&best_.previous_membership);
+  if (phase_ == Phase::accepting || won_) v.push_back(&next_.membership);
   return v;
 }
 
-Acc Proposer::acc_for(Member const& m, bool full, Ballot have) const {
-  Acc a;
-  a.bal = bal_;
-  a.life = m.life;
+AcceptRequest Proposer::acc_for(Member const& m, bool full, Ballot have) const {
+  AcceptRequest a;
+  a.ballot = bal_;
+  a.incarnation = m.incarnation;
   if (full && have != Ballot()) {
-    std::optional<Delta> d;
-    if (first_ && first_->bal == have) {
+    std::optional<StateDelta> d;
+    if (first_ && first_->ballot == have) {
       // What we had ourselves; it may never have been won, and have what this value lacks, which
       // a difference can't say.
       d = delta_of(*first_, next_);
-      State s = *first_;
+      ReplicatedState s = *first_;
       if (!apply(s, *d) || codec::pack(s) != codec::pack(next_)) d.reset();
     }
     if (!d && leads_ && !(d = leads_(have, bal_))) {
       // Our own disk has not taken this value, but may have the one it is made of.
-      if ((d = leads_(have, best_.bal))) d = joined(std::move(*d), delta_of(best_, next_));
+      if ((d = leads_(have, best_.ballot))) d = joined(std::move(*d), delta_of(best_, next_));
     }
     if (d) {
       a.delta = codec::pack(*d);
       return a;
     }
   }
-  if (full || best_.bal == Ballot(0))
+  if (full || best_.ballot == Ballot(0))
     a.state = codec::pack(next_);
   else
     a.delta = delta_;
@@ -132,14 +133,14 @@
 std::vector<Proposer::Out> Proposer::try_accept() {
   next_ = best_;
   if (settled()) {
-    next_.was.clear();
+    next_.previous_membership.clear();
     change_(next_);
   }
   // Even with nothing to change, the value found is written again: only so is it
   // known to be on a majority before anyone is told of it.
-  next_.bal = bal_;
-  bool moved = next_.roster.size() != best_.roster.size();
-  for (Member& m : next_.roster) {
+  next_.ballot = bal_;
+  bool moved = next_.membership.size() != best_.membership.size();
+  for (Member& m : next_.membership) {
     Member const* o = best_.member(m.ip);
     if (o != nullptr && o->same_disk(m) && o->since == m.since) continue;
     moved = true;
@@ -147,10 +148,10 @@
   }
   if (moved) {
     next_.epoch = Epoch(bal_.v);
-    next_.was = best_.roster;
+    next_.previous_membership = best_.membership;
   }
   if (!same_view(best_, next_)) next_.open = bal_;
-  delta_ = best_.bal == Ballot(0) ? std::string() : codec::pack(delta_of(best_, next_));
+  delta_ = best_.ballot == Ballot(0) ? std::string() : codec::pack(delta_of(best_, next_));
   phase_ = Phase::accepting;
   std::vector<Out> out;
   std::set<std::string> sent;
@@ -169,14 +170,14 @@
   return out;
 }
 
-std::vector<Proposer::Out> Proposer::on_acc(std::string const& from, AccR const& r) {
-  if (r.bal != bal_) return {};
+std::vector<Proposer::Out> Proposer::on_acc(std::string const& from, AcceptResponse const& r) {
+  if (r.ballot != bal_) return {};
   // Who comes late to a round that is won is still told what it lacks.
   if (phase_ != Phase::accepting && !(won_ && r.want_full)) return {};
   check_ballot(r.promised);
   saw(r.promised);
   if (r.ok) {
-    accepted_.insert(id_of(from, r.life));
+    accepted_.insert(id_of(from, r.incarnation));
     if (has_quorum(best_, accepted_, settled()) && has_quorum(next_, accepted_, false)) {
       phase_ = Phase::idle;
       done_ = won_ = true;
@@ -186,7 +187,7 @@
   if (r.want_full) {
     for (auto const* l : voters())
       for (Member const& m : *l)
-        if (m.ip == from && m.life == r.life) {
+        if (m.ip == from && m.incarnation == r.incarnation) {
           Out o;
           o.ip = from;
           o.is_prep = false;
@@ -213,7 +214,7 @@
       o.ip = ip;
       o.is_prep = phase_ == Phase::preparing;
       if (o.is_prep)
-        o.prep = Prep{bal_, have(), m.life};
+        o.prep = PrepareRequest{bal_, have(), m.incarnation};
       else
         o.acc = acc_for(m, true);
       out.push_back(std::move(o));
--- a/packages/controller/include/controller/lease_service.hpp
+++ b/packages/controller/include/controller/lease_service.hpp
@@ -10,60 +10,62 @@
 
 namespace dockbend {
 
-class DutyDesk {
+class LeaseService {
  public:
-  DutyDesk(House& h, SiteDesk& s) : h_(h), sites_(s) {
-    Settings const& st = h.st;
-    Secs const now = now_s();
-    DutyPlan dp;
+  LeaseService(ControllerContext& h, DirectoryService& s) : context_(h), directory_service_(s) {
+    Settings const& st = h.settings;
+    Seconds const now = steady_now();
+    LeaseOptions dp;
     dp.lease = st.bounds.leaseTermS;
     for (char const* d : {"usage", "allowance", "drain"})
-      duties_.emplace(d, Duty(d, st.nodeName, st.ip, dp, now));
-    ReportPlan rp;
+      leases_.emplace(d, LeaseClient(d, st.nodeName, st.ip, dp, now));
+    UsageReportOptions rp;
     rp.period = st.bounds.reportPeriodS;
     rp.settle = 0.15 * st.bounds.usageDelayS;
     rp.late = 0.6 * st.bounds.usageDelayS;
     rp.call = std::min(1.0, 0.35 * st.bounds.leaseTermS);
     if (st.dutyPerS > 0) rp.gap = std::max(rp.gap, 2.0 / st.dutyPerS);
-    reporter_ = Reporter(rp);
-    if (st.cloud) envoy_ = std::make_unique<Envoy>(h.eb, *st.cloud);
+    reporter_ = UsageReporter(rp);
+    if (st.cloud) envoy_ = std::make_unique<PlatformClient>(h.loop, *st.cloud);
   }
 
-  void duties_see(Secs now) {
-    if (!h_.committed) return;
-    for (auto& [n, d] : duties_) {
+  void duties_see(Seconds now) {
+    if (!context_.committed) return;
+    for (auto& [n, d] : leases_) {
       bool const had = d.holds();
-      d.seen(h_.committed->term(n), now);
+      d.seen(context_.committed->term(n), now);
       if (had && !d.holds()) lost_duty(n);
     }
-    if (Term const* t = h_.committed->term("usage"); t != nullptr && t->fence != tally_fence_) {
+    if (Lease const* t = context_.committed->term("usage"); t != nullptr && t->fence != tally_fence_) {
       tally_fence_ = t->fence;
       tally_all_ = true;  // the new holder needs all that is not reported yet
     }
   }
 
-  void duties(Secs now) {
-    for (auto& [n, d] : duties_) {
-      Duty::Move const m = d.step(now, fit() && wanted(n));
+  void duties(Seconds now) {
+    for (auto& [n, d] : leases_) {
+      LeaseClient::Action const m = d.step(now, fit() && wanted(n));
       // The one call on its way ends before the duty is handed over.
-      if (m == Duty::Move::none || (m == Duty::Move::hand && n == "usage" && envoy_ && envoy_->busy())) continue;
-      Duty::Ask const a = d.ask(m, now);
+      if (m == LeaseClient::Action::none ||
+          (m == LeaseClient::Action::hand && n == "usage" && envoy_ && envoy_->busy()))
+        continue;
+      LeaseClient::Proposal const a = d.ask(m, now);
       auto const ok = std::make_shared<bool>(false);
-      h_.submit(
-          [this, n = n, a, ok](State& s) {
-            *ok = duties_.at(n).apply(s, a);
-            if (*ok && n == "usage" && reporter_.acked()) Reporter::tick_off(s, *reporter_.acked());
+      context_.submit(
+          [this, n = n, a, ok](ReplicatedState& s) {
+            *ok = leases_.at(n).apply(s, a);
+            if (*ok && n == "usage" && reporter_.acked()) UsageReporter::tick_off(s, *reporter_.acked());
             return *ok;
           },
-          [this, n = n, a, ok](State const* s) {
-            Secs const t = now_s();
-            Duty& x = duties_.at(n);
+          [this, n = n, a, ok](ReplicatedState const* s) {
+            Seconds const t = steady_now();
+            LeaseClient& x = leases_.at(n);
             bool const had = x.holds();
             x.answered(a, s != nullptr && *ok, t);
             if (!had && x.holds()) {
-              LOG4CPLUS_INFO(lg_, "Duty " << n << " is ours, fence " << x.fence() << ".");
+              LOG4CPLUS_INFO(logger_, "Duty " << n << " is ours, fence " << x.fence() << ".");
               // Leases of the lender before may still run.
-              if (n == "allowance") lender_.open(t + 1.0 + h_.st.bounds.leaseTermS * 0.1);
+              if (n == "allowance") lender_.open(t + 1.0 + context_.settings.bounds.leaseTermS * 0.1);
             }
             if (had && !x.holds()) lost_duty(n);
           },
@@ -74,31 +76,31 @@
   }
 
   // Counts go on to whoever reports.
-  void pass_tally(Secs now) {
-    if (now - tallied_ < 0.5 || !h_.committed) return;
+  void pass_tally(Seconds now) {
+    if (now - tallied_ < 0.5 || !context_.committed) return;
     tallied_ = now;
-    Term const* t = h_.committed->term("usage");
+    Lease const* t = context_.committed->term("usage");
     if (t == nullptr) return;
-    if (t->ip == h_.st.ip) {
+    if (t->ip == context_.settings.ip) {
       totals_.take(false);
       return;
     }
-    auto const it = h_.mates.find(t->ip);
-    if (it == h_.mates.end() || !it->second.link || !it->second.link->up()) {
+    auto const it = context_.controllers.find(t->ip);
+    if (it == context_.controllers.end() || !it->second.link || !it->second.link->up()) {
       tally_all_ = true;
       return;
     }
-    TallyNote const n = totals_.take(tally_all_);
+    UsageUpdate const n = totals_.take(tally_all_);
     tally_all_ = false;
-    if (!n.rows.empty()) it->second.link->send(Kind::tally, 0, n);
+    if (!n.rows.empty()) it->second.link->send(MessageType::usage_update, 0, n);
   }
 
   template <class W>
   void write_duties(W& w) const {
     w.Key("duties");
     w.StartArray();
-    if (h_.committed)
-      for (Term const& t : h_.committed->duties) {
+    if (context_.committed)
+      for (Lease const& t : context_.committed->duties) {
         w.StartObject();
         w.Key("duty");
         w.String(t.duty.c_str());
@@ -111,11 +113,12 @@
           w.String(t.next.c_str());
         }
         if (t.duty == "usage") {
-          u64 const first = h_.committed->fixed.empty() ? h_.committed->to_fix : h_.committed->fixed.front().window;
+          u64 const first =
+              context_.committed->fixed.empty() ? context_.committed->to_fix : context_.committed->fixed.front().window;
           w.Key("lastWindow");  // the newest that the platform acknowledged
           w.Uint64(first == 0 ? 0 : first - 1);
           w.Key("outstanding");
-          w.Uint64(h_.committed->fixed.size());
+          w.Uint64(context_.committed->fixed.size());
         }
         w.EndObject();
       }
@@ -134,35 +137,37 @@
   void hand_over_call(evhttp_request* r, std::string const& rest) {
     auto const cut = rest.find('/');
     std::string const duty = rest.substr(0, cut), node = cut == std::string::npos ? "" : rest.substr(cut + 1);
-    auto const it = duties_.find(duty);
-    if (it == duties_.end()) return h_.write(r, fault(404, "no such duty: " + duty));
-    HandOver const o{duty, node};
-    carry(h_.submit, o, h_.patience(), [this, r, o, until = now_s() + h_.patience()](Outcome const& x) {
-      if (x.ruling == Ruling::taken) return h_.write(r, answer_of(x));
-      if (std::string const why = hand_over(o); !why.empty()) return h_.write(r, fault(503, why));
-      orders_.push_back(Ordered{o, r, until});
-    });
+    auto const it = leases_.find(duty);
+    if (it == leases_.end()) return context_.write(r, error_response(404, "no such duty: " + duty));
+    HandOverLease const o{duty, node};
+    carry(context_.submit, o, context_.patience(),
+          [this, r, o, until = steady_now() + context_.patience()](CommandResult const& x) {
+            if (x.ruling == CommandStatus::taken) return context_.write(r, answer_of(x));
+            if (std::string const why = hand_over(o); !why.empty()) return context_.write(r, error_response(503, why));
+            orders_.push_back(Ordered{o, r, until});
+          });
   }
 
   // The lender knows; another node says where it is.
   void allowance_call(evhttp_request* r, std::string const& tenant, std::string const& uri) {
-    Secs const now = now_s();
-    Duty const& d = duties_.at("allowance");
+    Seconds const now = steady_now();
+    LeaseClient const& d = leases_.at("allowance");
     if (!tenant.empty()) {
-      TenantP const p = h_.partners.tenant(tenant);
+      TenantPtr const p = context_.tenants.tenant(tenant);
       if (!p || !p->allowance) return refuse(r, tenant, uri);
     }
     if (!d.holds()) {
-      Term const* t = h_.committed ? h_.committed->term("allowance") : nullptr;
-      Member const* m = t == nullptr ? nullptr : h_.committed->member(t->ip);
-      if (m == nullptr || m->ip == h_.st.ip)
-        return h_.write(r, lends() ? fault(503, "nobody lends yet") : CallRet{200, "{\"allowances\":[]}"});
-      return h_.write(r, CallRet{307, "{}", "http://" + Addr{m->ip, m->control}.str() + uri});
+      Lease const* t = context_.committed ? context_.committed->term("allowance") : nullptr;
+      Member const* m = t == nullptr ? nullptr : context_.committed->member(t->ip);
+      if (m == nullptr || m->ip == context_.settings.ip)
+        return context_.write(
+            r, lends() ? error_response(503, "nobody lends yet") : ApiResponse{200, "{\"allowances\":[]}"});
+      return context_.write(r, ApiResponse{307, "{}", "http://" + Address{m->ip, m->control}.str() + uri});
     }
     rapidjson::StringBuffer sb;
     rapidjson::Writer<rapidjson::StringBuffer> w(sb);
     auto one = [&](std::string const& t, bool gates) {
-      Lender::Seen const s = lender_.show(t, now);
+      QuotaAllocator::Seen const s = lender_.show(t, now);
       w.StartObject();
       w.Key("tenant");
       w.String(t.c_str());
@@ -206,107 +211,112 @@
     } else {
       one(tenant, true);
     }
-    h_.write(r, CallRet{200, std::string(sb.GetString(), sb.GetSize())});
+    context_.write(r, ApiResponse{200, std::string(sb.GetString(), sb.GetSize())});
   }
 
   // May this node act under that duty in a call that ends within `need`?
-  bool may(std::string const& duty, Secs now, Secs need) const { return duties_.at(duty).may_act(now, need); }
-  u64 fence(std::string const& duty) const { return duties_.at(duty).fence(); }
-  void tick(Secs now) {
-    clock_.own(now, wall_s());
+  bool may(std::string const& duty, Seconds now, Seconds need) const { return leases_.at(duty).may_act(now, need); }
+  u64 fence(std::string const& duty) const { return leases_.at(duty).fence(); }
+  void tick(Seconds now) {
+    clock_.own(now, wall_clock_now());
     duties(now);
     answer_orders(now);
     pass_tally(now);
   }
   void leave() {
-    for (auto& [n, d] : duties_)
+    for (auto& [n, d] : leases_)
       d.hand_over(successor());
   }
   bool handing() const {
     bool x = false;
-    for (auto const& [n, d] : duties_)
+    for (auto const& [n, d] : leases_)
       x = x || d.handing();
     return x;
   }
-  void told(DutyCmd const& c) {
-    auto const it = duties_.find(c.duty);
-    if (it == duties_.end()) return;
+  void told(HandOverCommand const& c) {
+    auto const it = leases_.find(c.duty);
+    if (it == leases_.end()) return;
     // Meant for a term that is over: whoever has the duty now was not spoken of.
-    if (c.fence != it->second.fence()) return h_.strays.drop(Stray::term);
+    if (c.fence != it->second.fence()) return context_.unmatched.drop(UnmatchedReason::term);
     it->second.hand_over(c.node);
   }
-  void mate_clock(std::string const& ip, Secs steady, Wall said) { clock_.mate(ip, steady, said); }
-  void join(TallyNote const& n) {
-    for (TallyRow const& r : n.rows)
+  void controller_clock(std::string const& ip, Seconds steady, WallSeconds said) {
+    clock_.peer_reading(ip, steady, said);
+  }
+  void join(UsageUpdate const& n) {
+    for (UsageRow const& r : n.rows)
       totals_.join(r);
   }
-  void reported_to(u64 window) { totals_.forget(Window(window)); }
+  void reported_to(u64 window) { totals_.forget(UsageWindow(window)); }
   // May this node be handed a duty and act at once?
-  bool fit_at_once() const { return fit() && duties_.at("usage").free(now_s()); }
-  void lend_to(Channel& ch, u32 tag, LoanAsk const& a, Secs now) {
-    LoanRet r;
-    r.life = a.life;
+  bool fit_at_once() const { return fit() && leases_.at("usage").free(steady_now()); }
+  void lend_to(Connection& ch, u32 tag, QuotaLeaseRequest const& a, Seconds now) {
+    QuotaLeaseResponse r;
+    r.incarnation = a.incarnation;
     r.seq = a.seq;
-    if (duties_.at("allowance").may_act(now, 0)) r = lender_.ask(a, now);
-    ch.send(Kind::loanR, tag, r);
+    if (leases_.at("allowance").may_act(now, 0)) r = lender_.ask(a, now);
+    ch.send(MessageType::quota_lease_response, tag, r);
   }
 
  private:
   // Passes an order on to whoever holds the duty; what stood in its way, if anything.
-  std::string hand_over(HandOver const& o) {
-    bool in_touch = o.node == h_.st.nodeName;
-    for (auto const& [ip, m] : h_.mates)
-      in_touch = in_touch || (!o.node.empty() && m.node == o.node && h_.up(ip));
+  std::string hand_over(HandOverLease const& o) {
+    bool in_touch = o.node == context_.settings.nodeName;
+    for (auto const& [ip, m] : context_.controllers)
+      in_touch = in_touch || (!o.node.empty() && m.node == o.node && context_.up(ip));
     if (!in_touch) return "no such node in touch: " + o.node;
-    Term const* t = h_.committed ? h_.committed->term(o.duty) : nullptr;
+    Lease const* t = context_.committed ? context_.committed->term(o.duty) : nullptr;
     if (t == nullptr) return "nobody has the duty yet";
-    if (Duty& d = duties_.at(o.duty); d.hand_over(o.node) || d.handing()) return "";
-    if (t->ip == h_.st.ip || !h_.up(t->ip)) return "its holder is not in touch";
-    DutyCmd c;
+    if (LeaseClient& d = leases_.at(o.duty); d.hand_over(o.node) || d.handing()) return "";
+    if (t->ip == context_.settings.ip || !context_.up(t->ip)) return "its holder is not in touch";
+    HandOverCommand c;
     c.duty = o.duty;
     c.node = o.node;
     c.fence = t->fence;
-    h_.mates[t->ip].link->send(Kind::dutyCmd, 0, c);
+    context_.controllers[t->ip].link->send(MessageType::hand_over_command, 0, c);
     return "";
   }
   // An order is answered once the register says that the duty goes where it was ordered to.
-  void answer_orders(Secs now) {
+  void answer_orders(Seconds now) {
     std::erase_if(orders_, [&](Ordered const& x) {
-      Outcome const o = h_.committed ? x.o.judge(*h_.committed) : unsettled("no value yet");
-      if (o.ruling != Ruling::taken && now < x.until) return false;
-      h_.write(x.r, answer_of(o));
+      CommandResult const o = context_.committed ? x.o.judge(*context_.committed) : unsettled("no value yet");
+      if (o.ruling != CommandStatus::taken && now < x.until) return false;
+      context_.write(x.r, answer_of(o));
       return true;
     });
   }
 
   // Only a value read on a majority refuses.
   void refuse(evhttp_request* r, std::string const& tenant, std::string const& uri) {
-    h_.submit([](State&) { return false; },
-              [this, r, tenant, uri](State const* s) {
-                if (s == nullptr) return h_.write(r, fault(503, "no majority in time"));
-                TenantP const p = h_.partners.tenant(tenant);
-                if (p && p->allowance) return allowance_call(r, tenant, uri);
-                h_.write(r, fault(404, (p ? "tenant without an allowance: " : "no such tenant: ") + tenant));
-              },
-              h_.patience());
+    context_.submit([](ReplicatedState&) { return false; },
+                    [this, r, tenant, uri](ReplicatedState const* s) {
+                      if (s == nullptr) return context_.write(r, error_response(503, "no majority in time"));
+                      TenantPtr const p = context_.tenants.tenant(tenant);
+                      if (p && p->allowance) return allowance_call(r, tenant, uri);
+                      context_.write(
+                          r, error_response(404, (p ? "tenant without an allowance: " : "no such tenant: ") + tenant));
+                    },
+                    context_.patience());
   }
   bool wanted(std::string const& duty) const {
     return duty == "usage" ? reports() : duty == "drain" ? drains() : lends();
   }
   bool drains() const {
-    return std::any_of(h_.committed->passes.begin(), h_.committed->passes.end(),
-                       [](Pass const& p) { return p.state == PassState::running || p.state == PassState::paused; });
+    return std::any_of(context_.committed->passes.begin(), context_.committed->passes.end(), [](DrainRun const& p) {
+      return p.state == DrainRunState::running || p.state == DrainRunState::paused;
+    });
   }
-  bool fit() const { return h_.born && h_.leaving == 0 && h_.in_contact(); }
+  bool fit() const { return context_.born && context_.leaving_since == 0 && context_.in_contact(); }
 
   bool reports() const {
-    return h_.st.cloud && envoy_ &&
-           std::find(h_.st.cloudTasks.begin(), h_.st.cloudTasks.end(), "usage_report") != h_.st.cloudTasks.end() &&
-           h_.partners.has_tenants();
+    return context_.settings.cloud && envoy_ &&
+           std::find(context_.settings.cloudTasks.begin(), context_.settings.cloudTasks.end(), "usage_report") !=
+               context_.settings.cloudTasks.end() &&
+           context_.tenants.has_tenants();
   }
 
   bool lends() const {
-    for (TenantP const& t : h_.partners.tenants())
+    for (TenantPtr const& t : context_.tenants.tenants())
       if (t->allowance) return true;
     return false;
   }
@@ -315,12 +325,13 @@
   std::string successor() const {
     std::string best;
     int best_tier = 9;
-    if (!h_.committed) return "-";
-    for (Member const& m : h_.committed->roster) {
-      auto const it = h_.mates.find(m.ip);
-      if (m.ip == h_.st.ip || it == h_.mates.end() || !h_.up(m.ip) || !it->second.fit || it->second.node.empty())
+    if (!context_.committed) return "-";
+    for (Member const& m : context_.committed->membership) {
+      auto const it = context_.controllers.find(m.ip);
+      if (m.ip == context_.settings.ip || it == context_.controllers.end() || !context_.up(m.ip) || !it->second.fit ||
+          it->second.node.empty())
         continue;
-      int const t = m.zone == h_.st.zone ? 0 : m.region == h_.st.region ? 1 : 2;
+      int const t = m.zone == context_.settings.zone ? 0 : m.region == context_.settings.region ? 1 : 2;
       if (t < best_tier) {
         best = it->second.node;
         best_tier = t;
@@ -330,7 +341,7 @@
   }
 
   void lost_duty(std::string const& n) {
-    LOG4CPLUS_INFO(lg_, "Duty " << n << " is no longer ours.");
+    LOG4CPLUS_INFO(logger_, "Duty " << n << " is no longer ours.");
     if (n == "usage") {
       if (envoy_) envoy_->reset();
       reporter_.forget();
@@ -339,62 +350,63 @@
     }
   }
 
-  void report(Secs now) {
-    Duty& d = duties_.at("usage");
-    if (!d.holds() || !h_.committed || !envoy_) return;
-    if (auto const f = reporter_.to_fix(*h_.committed, totals_, clock_.at(now), now, now - d.since())) {
-      h_.submit(
-          [this, f = *f, fence = d.fence()](State& s) {
+  void report(Seconds now) {
+    LeaseClient& d = leases_.at("usage");
+    if (!d.holds() || !context_.committed || !envoy_) return;
+    if (auto const f = reporter_.to_fix(*context_.committed, totals_, clock_.at(now), now, now - d.since())) {
+      context_.submit(
+          [this, f = *f, fence = d.fence()](ReplicatedState& s) {
             // Only the holder of the day fixes a body: it has everybody's counts.
-            Term const* t = s.term("usage");
-            if (t == nullptr || t->fence != fence || t->holder != h_.st.nodeName) return false;
-            bool const ticked = reporter_.acked() && Reporter::tick_off(s, *reporter_.acked());
-            return Reporter::fix(s, f) || ticked;
+            Lease const* t = s.term("usage");
+            if (t == nullptr || t->fence != fence || t->holder != context_.settings.nodeName) return false;
+            bool const ticked = reporter_.acked() && UsageReporter::tick_off(s, *reporter_.acked());
+            return UsageReporter::fix(s, f) || ticked;
           },
-          [](State const*) {}, 1.0);
+          [](ReplicatedState const*) {}, 1.0);
     }
-    auto const s = reporter_.to_send(*h_.committed, now);
+    auto const s = reporter_.to_send(*context_.committed, now);
     if (!s || !d.may_act(now, reporter_.call_s())) return;
     reporter_.sent(now);
-    envoy_->post("/usage", {{"X-Duty-Holder", h_.st.nodeName}, {"X-Fence-Number", std::to_string(d.fence())}}, s->body,
-                 reporter_.call_s(), [this, w = s->window](int code, Secs wait) {
-                   reporter_.answered(w, code, wait, now_s());
-                   if (code != 200) LOG4CPLUS_INFO(lg_, "Window " << w << " got " << code << ".");
+    envoy_->post("/usage",
+                 {{"X-Duty-Holder", context_.settings.nodeName}, {"X-Fence-Number", std::to_string(d.fence())}},
+                 s->body, reporter_.call_s(), [this, w = s->window](int code, Seconds wait) {
+                   reporter_.answered(w, code, wait, steady_now());
+                   if (code != 200) LOG4CPLUS_INFO(logger_, "Window " << w << " got " << code << ".");
                  });
   }
 
   // Wanted: a purse for every partner with an allowance.
-  void lend_rules(Secs now) {
-    if (!duties_.at("allowance").holds()) return;
-    double const n = sites_.proxies();
+  void lend_rules(Seconds now) {
+    if (!leases_.at("allowance").holds()) return;
+    double const n = directory_service_.proxies();
     for (std::string const& t : lender_.tenants()) {
-      TenantP const p = h_.partners.tenant(t);
+      TenantPtr const p = context_.tenants.tenant(t);
       if (!p || !p->allowance) lender_.drop(t);
     }
-    for (TenantP const& t : h_.partners.tenants())
+    for (TenantPtr const& t : context_.tenants.tenants())
       if (t->allowance)
-        lender_.rule(t->name, BudgetRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)}, n,
+        lender_.rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)}, n,
                      now);
   }
 
   struct Ordered {
-    HandOver o;
+    HandOverLease o;
     evhttp_request* r = nullptr;
-    Secs until = 0;
+    Seconds until = 0;
   };
-  House& h_;
-  SiteDesk& sites_;
+  ControllerContext& context_;
+  DirectoryService& directory_service_;
   std::vector<Ordered> orders_;  // to hand a duty over, on their way
-  std::map<std::string, Duty> duties_;
-  Reporter reporter_{ReportPlan{}};
-  std::unique_ptr<Envoy> envoy_;
-  Lender lender_;
-  Totals totals_;
-  TrueClock clock_;
+  std::map<std::string, LeaseClient> leases_;
+  UsageReporter reporter_{UsageReportOptions{}};
+  std::unique_ptr<PlatformClient> envoy_;
+  QuotaAllocator lender_;
+  UsageTotals totals_;
+  MedianClock clock_;
   u64 tally_fence_ = 0;
   bool tally_all_ = false;  // the holder of the usage duty may lack what we have
-  Secs tallied_ = 0;
-  log4cplus::Logger lg_ = log4cplus::Logger::getInstance("archivist");
+  Seconds tallied_ = 0;
+  log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
 }  // namespace dockbend
--- a/packages/controller/include/controller/rollout_service.hpp
+++ b/packages/controller/include/controller/rollout_service.hpp
@@ -7,47 +7,48 @@
 
 namespace dockbend {
 
-class RolloutDesk {
+class RolloutService {
  public:
-  RolloutDesk(House& h, SiteDesk& s) : h_(h), sites_(s) {}
+  RolloutService(ControllerContext& h, DirectoryService& s) : context_(h), directory_service_(s) {}
 
   void amend(evhttp_request* r, std::string const& body) {
-    Amendment a;
+    ConfigChange a;
     try {
       a = read_amend(body);
     } catch (json::Fault const& e) {
-      return h_.write(r, fault(400, e.what()));
+      return context_.write(r, error_response(400, e.what()));
     }
-    if (h_.leaving > 0) return h_.write(r, fault(503, "leaving"));
-    Secs const now = now_s();
-    Amend const o(a, h_.known());
-    if (!h_.st.staged || !worth_staging(a)) return h_.order(r, o);
+    if (context_.leaving_since > 0) return context_.write(r, error_response(503, "leaving"));
+    Seconds const now = steady_now();
+    AmendConfiguration const o(a, context_.known());
+    if (!context_.settings.staged || !worth_staging(a)) return context_.order(r, o);
     auto const id = (random64() >> 16) | 1;
     // A large change takes its time on narrow links; asking again too soon would only
     // fill them.
-    RolloutPlan plan = h_.st.rollout;
+    RolloutOptions plan = context_.settings.rollout;
     double bytes = 0;
-    for (Item const& i : a.items)
+    for (ConfigItem const& i : a.items)
       bytes += static_cast<double>(i.body.size() + i.key.size());
     plan.resendS += bytes / 200e3;
     plan.stageS += bytes / 400e3;
     Staged& g = rollouts_.emplace(id, Staged{Rollout(id, plan, now), o, r, now, {}, 99, {}}).first->second;
-    LOG4CPLUS_INFO(lg_, "Rollout " << id << " of " << a.items.size() << " items begins.");
+    LOG4CPLUS_INFO(logger_, "Rollout " << id << " of " << a.items.size() << " items begins.");
     stage_on(g, now);
   }
 
-  void hold_for(std::string const& leader, HoldFor const& f) {
-    Hold const h = codec::unpack<Hold>(f.hold);
-    held_for_[h.id] = {leader, now_s()};
-    Parcel const pc = parcel(Kind::hold, f.hold);
+  void hold_for(std::string const& leader, StageForwardRequest const& f) {
+    StageRequest const h = codec::unpack<StageRequest>(f.hold);
+    held_for_[h.id] = {leader, steady_now()};
+    EncodedMessage const pc = encode_message(MessageType::stage_request, f.hold);
     for (std::string const& s : f.sites) {
-      auto const it = sites_.catalog().rows().find(s);
-      if (it == sites_.catalog().rows().end()) continue;
-      if (auto const p = h_.peers.find(it->second.channel); p != h_.peers.end()) p->second.ch->send(pc);
+      auto const it = directory_service_.catalog().rows().find(s);
+      if (it == directory_service_.catalog().rows().end()) continue;
+      if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end())
+        p->second.ch->send(pc);
     }
   }
 
-  void rollouts(Secs now) {
+  void rollouts(Seconds now) {
     for (auto it = rollouts_.begin(); it != rollouts_.end();) {
       Staged& g = it->second;
       if (!is_over(g.ro.phase())) stage_on(g, now);
@@ -61,40 +62,40 @@
       notes_.erase(notes_.begin());
   }
 
-  void order_call(evhttp_request* r, std::string const& text, RollOrder o) {
+  void order_call(evhttp_request* r, std::string const& text, RolloutCommand o) {
     char* end = nullptr;
     u64 const id = std::strtoull(text.c_str(), &end, 10);
-    if (text.empty() || *end != '\0') return h_.write(r, fault(400, "id: wants a number"));
+    if (text.empty() || *end != '\0') return context_.write(r, error_response(400, "id: wants a number"));
     if (auto const it = rollouts_.find(id); it != rollouts_.end()) {
-      Secs const now = now_s();
+      Seconds const now = steady_now();
       if (!it->second.ro.heed(o, now))
-        return h_.write(r, fault(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
+        return context_.write(r, error_response(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
       stage_on(it->second, now);
-      return h_.write(r, CallRet{200, "{}"});
+      return context_.write(r, ApiResponse{200, "{}"});
     }
     // Only the node that leads it knows what became of it. A rollout that this node knows
     // nothing of may be under way elsewhere: that is no refusal.
     auto const it = notes_.find(id);
-    if (it == notes_.end()) return h_.write(r, fault(503, "id: no such rollout is known here"));
-    Member const* m = h_.committed ? h_.committed->member(it->second.at) : nullptr;
-    if (m == nullptr || m->ip == h_.st.ip || !h_.up(m->ip))
-      return h_.write(r, fault(503, "the node that leads it is not in touch"));
-    char const* const what = o == RollOrder::pause ? "Pause/" : o == RollOrder::resume ? "Resume/" : "Abort/";
+    if (it == notes_.end()) return context_.write(r, error_response(503, "id: no such rollout is known here"));
+    Member const* m = context_.committed ? context_.committed->member(it->second.at) : nullptr;
+    if (m == nullptr || m->ip == context_.settings.ip || !context_.up(m->ip))
+      return context_.write(r, error_response(503, "the node that leads it is not in touch"));
+    char const* const what = o == RolloutCommand::pause ? "Pause/" : o == RolloutCommand::resume ? "Resume/" : "Abort/";
     evhttp_add_header(evhttp_request_get_output_headers(r), "Location",
-                      ("http://" + Addr{m->ip, m->control}.str() + "/-/Rollout." + what + text).c_str());
-    h_.write(r, CallRet{307, "{}"});
+                      ("http://" + Address{m->ip, m->control}.str() + "/-/Rollout." + what + text).c_str());
+    context_.write(r, ApiResponse{307, "{}"});
   }
 
   std::string rollout_status() const {
-    std::map<u64, RollNote> all = notes_;
-    Secs const now = now_s();
+    std::map<u64, RolloutStatusNotice> all = notes_;
+    Seconds const now = steady_now();
     for (auto const& [id, g] : rollouts_)
       all[id] = note_of(g, now);
     rapidjson::StringBuffer sb;
     rapidjson::Writer<rapidjson::StringBuffer> w(sb);
     w.StartObject();
     w.Key("staged");
-    w.Bool(h_.st.staged);
+    w.Bool(context_.settings.staged);
     w.Key("rollouts");
     w.StartArray();
     for (auto const& [id, n] : all) {
@@ -125,12 +126,12 @@
     return std::string(sb.GetString(), sb.GetSize());
   }
 
-  void held(HoldR const& r, Secs now) {
+  void held(StageResponse const& r, Seconds now) {
     auto const it = rollouts_.find(r.id);
     if (it == rollouts_.end()) {
       // Asked for by the mate that leads it.
-      if (auto const f = held_for_.find(r.id); f != held_for_.end() && h_.mate(f->second.first).link)
-        h_.mate(f->second.first).link->send(Kind::holdR, 0, r);
+      if (auto const f = held_for_.find(r.id); f != held_for_.end() && context_.controller(f->second.first).link)
+        context_.controller(f->second.first).link->send(MessageType::stage_response, 0, r);
       return;
     }
     it->second.ro.heard(r.front, r.holds);
@@ -139,13 +140,13 @@
   // A site whose agent's life may have ended holds nothing for certain.
   void lost_channel(u64 id) {
     for (auto& [rid, g] : rollouts_)
-      for (auto const& [f, s] : sites_.catalog().rows())
+      for (auto const& [f, s] : directory_service_.catalog().rows())
         if (s.channel == id) g.ro.lost(f);
   }
-  void forget(Secs now) {
+  void forget(Seconds now) {
     std::erase_if(held_for_, [&](auto const& x) { return now - x.second.second > 60; });
   }
-  void note(RollNote n) {
+  void note(RolloutStatusNotice n) {
     u64 const id = n.id;
     notes_[id] = std::move(n);
   }
@@ -153,10 +154,10 @@
  private:
   struct Staged {
     Rollout ro;
-    Amend o;
+    AmendConfiguration o;
     evhttp_request* r = nullptr;  // the operator's call, until it is answered
-    Secs start = 0;
-    RollPhase told{};
+    Seconds start = 0;
+    RolloutPhase told{};
     std::size_t told_stage = 99;
     Ballot seen;  // of the value it was last set against
   };
@@ -164,130 +165,134 @@
   // Only what changes lanes that nodes already serve by is brought out in stages:
   // a first manifest has no version that anyone trusts, and what changes nothing or
   // is faulty goes to the register at once, whose word is final.
-  bool worth_staging(Amendment const& a) const {
-    if (!h_.committed || sites_.catalog().rows().empty()) return false;
+  bool worth_staging(ConfigChange const& a) const {
+    if (!context_.committed || directory_service_.catalog().rows().empty()) return false;
     bool standing = false;
-    for (Item const& i : h_.committed->items)
+    for (ConfigItem const& i : context_.committed->items)
       standing = standing || (i.key[0] == 'r' && !i.gone);
-    if (!standing || !brings_news(h_.committed->items, a)) return false;
-    auto items = h_.committed->by_key();
+    if (!standing || !brings_news(context_.committed->items, a)) return false;
+    auto items = context_.committed->by_key();
     std::string f;
-    return join(items, a, f) == Joined::changed;
+    return join(items, a, f) == MergeResult::changed;
   }
 
   // Nodes whose last two keepalives did not both fail: a frozen one must not use up
   // the time that a rollout has.
-  std::map<std::string, std::string> in_touch(Secs now) const {
+  std::map<std::string, std::string> in_touch(Seconds now) const {
     std::map<std::string, std::string> m;
-    for (auto const& [f, s] : sites_.catalog().rows())
+    for (auto const& [f, s] : directory_service_.catalog().rows())
       // What a mate told us is older by its way here.
-      if (s.channel != 0 ? h_.peers.count(s.channel) > 0 && now - s.heard < 1.3 : h_.up(s.via) && now - s.heard < 1.6)
+      if (s.channel != 0 ? context_.sessions.count(s.channel) > 0 && now - s.heard < 1.3
+                         : context_.up(s.via) && now - s.heard < 1.6)
         m[f] = s.zone;
     return m;
   }
 
-  void stage_on(Staged& g, Secs now) {
-    if (h_.committed && !is_over(g.ro.phase()) && g.ro.phase() != RollPhase::committing) {
-      if (g.seen != bal()) {
-        g.seen = bal();
-        if (!brings_news(h_.committed->items, g.o.asked())) g.ro.overtaken();
+  void stage_on(Staged& g, Seconds now) {
+    if (context_.committed && !is_over(g.ro.phase()) && g.ro.phase() != RolloutPhase::committing) {
+      if (g.seen != ballot()) {
+        g.seen = ballot();
+        if (!brings_news(context_.committed->items, g.o.asked())) g.ro.overtaken();
       }
     }
-    Rollout::Step const st = g.ro.step(now, in_touch(now));
+    Rollout::Actions const st = g.ro.step(now, in_touch(now));
     if (!st.send.empty()) {
-      Hold h;
+      StageRequest h;
       h.id = g.ro.id();
       h.for_ms = static_cast<u32>((g.ro.until() - now + 1.0) * 1000);
       h.items = g.o.asked().items;
       to_sites(st.send, h);
     }
     if (st.drop) {
-      Hold h;
+      StageRequest h;
       h.id = g.ro.id();
       h.drop = true;
       to_sites({g.ro.asked().begin(), g.ro.asked().end()}, h);
     }
     if (st.commit) {
       u64 const id = g.ro.id();
-      carry(h_.submit, g.o, h_.patience(), [this, id](Outcome const& o) {
+      carry(context_.submit, g.o, context_.patience(), [this, id](CommandResult const& o) {
         auto const it = rollouts_.find(id);
         if (it == rollouts_.end()) return;
-        it->second.ro.committed(o.ruling == Ruling::taken);
+        it->second.ro.committed(o.ruling == CommandStatus::taken);
         answer_rollout(it->second, answer_of(o));
-        stage_on(it->second, now_s());
+        stage_on(it->second, steady_now());
       });
     }
-    RollPhase const p = g.ro.phase();
-    if (p == RollPhase::fell_back) answer_rollout(g, fault(503, "rollout fell back: too few nodes hold it"));
-    if (p == RollPhase::aborted) answer_rollout(g, fault(503, "rollout was aborted by the operator"));
-    if (p == RollPhase::overtaken && g.r != nullptr) {
+    RolloutPhase const p = g.ro.phase();
+    if (p == RolloutPhase::fell_back)
+      answer_rollout(g, error_response(503, "rollout fell back: too few nodes hold it"));
+    if (p == RolloutPhase::aborted) answer_rollout(g, error_response(503, "rollout was aborted by the operator"));
+    if (p == RolloutPhase::overtaken && g.r != nullptr) {
       evhttp_request* const r = g.r;
       g.r = nullptr;
-      carry(h_.submit, g.o, h_.patience(), [this, r](Outcome const& o) { h_.write(r, answer_of(o)); });
+      carry(context_.submit, g.o, context_.patience(),
+            [this, r](CommandResult const& o) { context_.write(r, answer_of(o)); });
     }
     if (p != g.told || g.ro.stage() != g.told_stage) {
-      if (p != g.told && p != RollPhase::holding && p != RollPhase::committing)
-        LOG4CPLUS_INFO(lg_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1 << " of "
-                                       << g.ro.stages() << ", " << g.ro.holding() << " hold it, " << g.ro.wanted()
-                                       << " are enough.");
+      if (p != g.told && p != RolloutPhase::holding && p != RolloutPhase::committing)
+        LOG4CPLUS_INFO(logger_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1
+                                           << " of " << g.ro.stages() << ", " << g.ro.holding() << " hold it, "
+                                           << g.ro.wanted() << " are enough.");
       g.told = p;
       g.told_stage = g.ro.stage();
-      RollNote const n = note_of(g, now);
-      for (auto& [ip, m] : h_.mates)
-        if (m.link) m.link->send(Kind::rollNote, 0, n);
+      RolloutStatusNotice const n = note_of(g, now);
+      for (auto& [ip, m] : context_.controllers)
+        if (m.link) m.link->send(MessageType::rollout_status, 0, n);
     }
   }
 
-  void answer_rollout(Staged& g, CallRet const& c) {
+  void answer_rollout(Staged& g, ApiResponse const& c) {
     if (g.r == nullptr) return;
-    h_.write(g.r, c);
+    context_.write(g.r, c);
     g.r = nullptr;
   }
 
   // Sites that registered here get it from us; the others from their own directory,
   // so that it crosses to each zone once.
-  void to_sites(std::vector<std::string> const& fronts, Hold const& h) {
-    Parcel const pc = parcel(Kind::hold, codec::pack(h));
-    std::map<std::string, HoldFor> far;
+  void to_sites(std::vector<std::string> const& fronts, StageRequest const& h) {
+    EncodedMessage const pc = encode_message(MessageType::stage_request, codec::pack(h));
+    std::map<std::string, StageForwardRequest> far;
     for (std::string const& f : fronts) {
-      auto const it = sites_.catalog().rows().find(f);
-      if (it == sites_.catalog().rows().end()) continue;
+      auto const it = directory_service_.catalog().rows().find(f);
+      if (it == directory_service_.catalog().rows().end()) continue;
       if (it->second.channel != 0) {
-        if (auto const p = h_.peers.find(it->second.channel); p != h_.peers.end()) p->second.ch->send(pc);
+        if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end())
+          p->second.ch->send(pc);
       } else {
         far[it->second.via].sites.push_back(f);
       }
     }
     for (auto& [via, hf] : far) {
-      auto const m = h_.mates.find(via);
-      if (m == h_.mates.end() || !m->second.link) continue;
+      auto const m = context_.controllers.find(via);
+      if (m == context_.controllers.end() || !m->second.link) continue;
       hf.hold = codec::pack(h);
-      m->second.link->send(Kind::holdFor, 0, hf);
+      m->second.link->send(MessageType::stage_forward_request, 0, hf);
     }
   }
 
-  RollNote note_of(Staged const& g, Secs now) const {
-    RollNote n;
+  RolloutStatusNotice note_of(Staged const& g, Seconds now) const {
+    RolloutStatusNotice n;
     n.id = g.ro.id();
-    n.at = h_.st.ip;
+    n.at = context_.settings.ip;
     n.phase = g.ro.phase();
     n.stage = static_cast<u32>(g.ro.stage() + 1);
     n.stages = static_cast<u32>(g.ro.stages());
     n.wanted = static_cast<u32>(g.ro.wanted());
     n.holding = static_cast<u32>(g.ro.holding());
     n.age = now - g.start;
-    for (Item const& i : g.o.asked().items)
+    for (ConfigItem const& i : g.o.asked().items)
       n.items.push_back(i.key + "@" + json::gen_str(i.gen));
     return n;
   }
 
-  Ballot bal() const { return h_.committed ? h_.committed->bal : Ballot(); }
-  House& h_;
-  SiteDesk& sites_;
-  std::map<u64, Staged> rollouts_;                        // led from here
-  std::map<u64, RollNote> notes_;                         // led elsewhere, as told
-  std::map<u64, std::pair<std::string, Secs>> held_for_;  // passed on for a mate: who leads them
-  log4cplus::Logger lg_ = log4cplus::Logger::getInstance("archivist");
+  Ballot ballot() const { return context_.committed ? context_.committed->ballot : Ballot(); }
+  ControllerContext& context_;
+  DirectoryService& directory_service_;
+  std::map<u64, Staged> rollouts_;                           // led from here
+  std::map<u64, RolloutStatusNotice> notes_;                 // led elsewhere, as told
+  std::map<u64, std::pair<std::string, Seconds>> held_for_;  // passed on for a mate: who leads them
+  log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
 }  // namespace dockbend
--- a/packages/directory/directory.cpp
+++ b/packages/directory/directory.cpp
@@ -5,15 +5,16 @@
 
 namespace dockbend {
 
-std::vector<Site const*> NearSelector::choose(std::vector<Site const*> const& table, Consumer const& c) const {
+std::vector<ProxyEntry const*> NearestSelector::choose(std::vector<ProxyEntry const*> const& table,
+                                                       ClientContext const& c) const {
   struct Rated {
-    Site const* s;
+    ProxyEntry const* s;
     int tier;
     double r;
   };
   std::vector<Rated> v;
   double sum = 0, n = 0;
-  for (Site const* s : table) {
+  for (ProxyEntry const* s : table) {
     int tier = s->zone == c.zone ? 0 : s->region == c.region ? 1 : 2;
     if (tier == 0) {
       sum += s->load;
@@ -31,7 +32,7 @@
   // in one zone is worth nothing when that zone is lost. One and two when the zone is
   // busy. The last tier is for those who have nothing nearer.
   std::size_t const of_near = n > 0 && sum / n > pressed ? most - 2 : most - 1;
-  std::vector<Site const*> out;
+  std::vector<ProxyEntry const*> out;
   std::size_t near = 0;
   for (Rated const& r : v) {
     if (out.size() >= most) break;
--- a/packages/drain/include/drain/drain_run.hpp
+++ b/packages/drain/include/drain/drain_run.hpp
@@ -9,56 +9,57 @@
 
 namespace dockbend {
 
-char const* stage_str(Stage s);
-char const* pass_state_str(PassState s);
+char const* stage_str(DrainStage s);
+char const* pass_state_str(DrainRunState s);
 
-struct OrderUnit {
-  DB_RECORD(OrderUnit, (std::string, name), (std::string, node), (u32, wave));
+struct DrainOrderUnit {
+  DB_RECORD(DrainOrderUnit, (std::string, name), (std::string, node), (u32, wave));
 };
 // An order as it comes in. Names are front addresses of proxies, or ids of servers.
-struct Order {
-  DB_RECORD(Order, (std::string, id), (bool, servers), (double, headroom), (u32, maxUnavailable), (double, patienceS),
-            (bool, replaced), (std::vector<OrderUnit>, units), (std::vector<Had>, had));
+struct DrainOrder {
+  DB_RECORD(DrainOrder, (std::string, id), (bool, servers), (double, headroom), (u32, maxUnavailable),
+            (double, patienceS), (bool, replaced), (std::vector<DrainOrderUnit>, units),
+            (std::vector<InitialServerCount>, had));
 };
-// Throws OrderFault with one line that names the thing.
-struct OrderFault : std::runtime_error {
+// Throws DrainOrderError with one line that names the thing.
+struct DrainOrderError : std::runtime_error {
   int code;
-  OrderFault(int c, std::string const& what) : std::runtime_error(what), code(c) {}
+  DrainOrderError(int c, std::string const& what) : std::runtime_error(what), code(c) {}
 };
-void check(Order const& o);
+void check(DrainOrder const& o);
 
 // Puts the order into the value. The same order again is the same pass; another under its
 // number, or one that overlaps another that is not over, is refused. Returns whether the value changed; id is the pass.
-bool start(State& s, Order const& o, u64& id);
+bool start(ReplicatedState& s, DrainOrder const& o, u64& id);
 
 // One unit's step, resting on the stage that was seen.
-struct Move {
+struct StageTransition {
   u64 pass = 0;
   std::string name;
-  Stage from = Stage::waiting, to = Stage::waiting;
-  u64 life = 0;
+  DrainStage from = DrainStage::waiting, to = DrainStage::waiting;
+  u64 incarnation = 0;
 };
 // What is said of a pass.
-struct Word {
+struct DrainRunMessage {
   u64 pass = 0;
   std::string why;
 };
-struct Moves {
-  std::vector<Move> moves;
-  std::vector<Word> words;
+struct DrainActions {
+  std::vector<StageTransition> moves;
+  std::vector<DrainRunMessage> words;
   bool empty() const { return moves.empty() && words.empty(); }
 };
 // Applies what still rests on what the value says; a repeat changes nothing. Ends passes
 // whose last unit is back.
-bool apply(State& s, Moves const& m);
+bool apply(ReplicatedState& s, DrainActions const& m);
 
-enum class PassOrder : u8 { pause = 1, resume = 2, abort = 3, take_back = 4 };
-// False if there is nothing to change; throws OrderFault if the pass is unknown or over.
-bool command(State& s, u64 id, PassOrder o, std::string const& unit = "");
+enum class DrainCommand : u8 { pause = 1, resume = 2, abort = 3, take_back = 4 };
+// False if there is nothing to change; throws DrainOrderError if the pass is unknown or over.
+bool command(ReplicatedState& s, u64 id, DrainCommand o, std::string const& unit = "");
 
-inline bool is_over(PassState s) {
-  return s == PassState::aborted || s == PassState::done;
+inline bool is_over(DrainRunState s) {
+  return s == DrainRunState::aborted || s == DrainRunState::done;
 }
-Unit const* unit_of(State const& s, std::string const& name);  // of a pass that is not over
+DrainUnit const* unit_of(ReplicatedState const& s, std::string const& name);  // of a pass that is not over
 
 }  // namespace dockbend
--- a/packages/drain/include/drain/proxy_drain.hpp
+++ b/packages/drain/include/drain/proxy_drain.hpp
@@ -10,33 +10,33 @@
 namespace dockbend {
 
 // A proxy as the directories know it.
-struct SeenNode {
+struct ProxyObservation {
   std::string front, zone, region;
-  bool ready = false, fresh = false;  // fresh: its keepalives come
-  double load = 0;                    // share of its processor or link in use, the busier of both
-  Stage told = Stage::waiting;        // the stage that it says it acts by
-  u32 keyed = 0, uploads = 0;         // that it says are open
-  u64 life = 0;
-  Secs cordoned_for = 0;  // by its own clock, so that a change of holders costs no time
-  bool current = false;   // it holds the configuration in force
+  bool ready = false, fresh = false;      // fresh: its keepalives come
+  double load = 0;                        // share of its processor or link in use, the busier of both
+  DrainStage told = DrainStage::waiting;  // the stage that it says it acts by
+  u32 keyed = 0, uploads = 0;             // that it says are open
+  u64 incarnation = 0;
+  Seconds cordoned_for = 0;  // by its own clock, so that a change of holders costs no time
+  bool current = false;      // it holds the configuration in force
 };
 
-struct RegionRoom {
-  DB_RECORD(RegionRoom, (std::string, region), (u32, nodes), (double, load));  // load: mean of the nodes that serve
+struct RegionCapacity {
+  DB_RECORD(RegionCapacity, (std::string, region), (u32, nodes), (double, load));  // load: mean of the nodes that serve
 };
 
 // What each region's nodes carry, and how many of them serve once `without` are out. Nodes that are
 // dark, not ready or out count as nothing, but what they still carry has to be carried.
-std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes,
-                                       std::function<bool(SeenNode const&)> const& without);
-inline bool is_short(RegionRoom const& r, double headroom) {
+std::map<std::string, RegionCapacity> room(std::vector<ProxyObservation> const& nodes,
+                                           std::function<bool(ProxyObservation const&)> const& without);
+inline bool is_short(RegionCapacity const& r, double headroom) {
   return r.nodes == 0 || r.load > 1 - headroom;
 }
 
-struct NodePlan {
-  Secs old_lists = 15;  // clients may go by lists as old as this
-  Secs steady = 2;      // a shortage or its end counts when it lasted so long
-  Secs settle = 0.8;    // emptiness, too
+struct ProxyDrainOptions {
+  Seconds old_lists = 15;  // clients may go by lists as old as this
+  Seconds steady = 2;      // a shortage or its end counts when it lasted so long
+  Seconds settle = 0.8;    // emptiness, too
 };
 
 // The order of steps. Invariants:
@@ -47,10 +47,10 @@
 //   dark before their turn; they have it once they are seen again;
 // - nothing is ever cut by time: a unit that does not become empty is only spoken of.
 // Times of emptiness and shortage are of this life of the holder: a successor waits them out anew.
-class NodeDrainer {
+class ProxyDrainPlanner {
  public:
-  explicit NodeDrainer(NodePlan p) : p_(p) {}
-  Moves step(State const& s, std::vector<SeenNode> const& nodes, Secs now);
+  explicit ProxyDrainPlanner(ProxyDrainOptions p) : p_(p) {}
+  DrainActions step(ReplicatedState const& s, std::vector<ProxyObservation> const& nodes, Seconds now);
   void forget() {
     at_.clear();
     short_.clear();
@@ -58,13 +58,13 @@
 
  private:
   struct Mark {
-    Stage stage = Stage::waiting;
-    Secs since = 0, quiet_since = -1;
+    DrainStage stage = DrainStage::waiting;
+    Seconds since = 0, quiet_since = -1;
   };
-  NodePlan p_;
+  ProxyDrainOptions p_;
   std::map<std::pair<u64, std::string>, Mark> at_;
   struct Shortage {
-    Secs since = -1, last = -1e9;
+    Seconds since = -1, last = -1e9;
   };
   std::map<std::string, Shortage> short_;  // by region
 };
--- a/packages/drain/include/drain/server_drain.hpp
+++ b/packages/drain/include/drain/server_drain.hpp
@@ -11,10 +11,10 @@
 
 // What one proxy has open at one server. bytes: sent of bodies still open; age: of the
 // oldest of them.
-struct Held {
-  DB_RECORD(Held, (std::string, id), (u32, uploads), (double, bytes), (double, age), (u32, keyed), (u32, sessions));
+struct OpenWork {
+  DB_RECORD(OpenWork, (std::string, id), (u32, uploads), (double, bytes), (double, age), (u32, keyed), (u32, sessions));
   // What another proxy holds there.
-  void add(Held const& o) {
+  void add(OpenWork const& o) {
     uploads += o.uploads;
     bytes += o.bytes;
     age = std::max(age, o.age);
@@ -24,21 +24,21 @@
 };
 
 // A server as the holder of the duty knows it.
-struct SeenServer {
+struct ServerObservation {
   std::string id, service, zone, region;
   bool present = false, ready = false;  // ready: it may get new work
   double slots = 1;                     // that it bears: a cold one fewer
-  Held held;                            // over all proxies
+  OpenWork held;                        // over all proxies
   bool told = false;                    // every proxy that may have sent to it said what it holds
 };
 
 // What leaves first: those with least that would be lost. A report that is missing counts
 // as busy.
-bool leaves_before(SeenServer const& a, SeenServer const& b);
+bool leaves_before(ServerObservation const& a, ServerObservation const& b);
 
-struct ServerPlan {
-  Secs spread = 3.5;  // after this long no proxy sends it anything new
-  Secs settle = 0.8;
+struct ServerDrainOptions {
+  Seconds spread = 3.5;  // after this long no proxy sends it anything new
+  Seconds settle = 0.8;
   std::size_t window = 32;  // units that wait whose holdings are asked for at once
 };
 
@@ -50,23 +50,23 @@
 // - it is `empty` only when every proxy that may hold something there says that it does
 //   not, twice, `settle` apart, and after `spread`;
 // - the order is worked out anew at each step.
-class ServerDrainer {
+class ServerDrainPlanner {
  public:
-  explicit ServerDrainer(ServerPlan p) : p_(p) {}
-  Moves step(State const& s, std::vector<SeenServer> const& servers, Secs now);
+  explicit ServerDrainPlanner(ServerDrainOptions p) : p_(p) {}
+  DrainActions step(ReplicatedState const& s, std::vector<ServerObservation> const& servers, Seconds now);
   // Whose holdings have to be known now: of all that drain, and of a few that wait, others each
   // time. What a rotation costs must not grow as proxies x servers.
-  std::vector<std::string> interest(State const& s);
+  std::vector<std::string> interest(ReplicatedState const& s);
   // Since when a unit is in its stage, in this holder's sight; < 0: not known.
-  Secs since(u64 pass, std::string const& name) const;
+  Seconds since(u64 pass, std::string const& name) const;
   void forget() { at_.clear(); }
 
  private:
   struct Mark {
-    Stage stage = Stage::waiting;
-    Secs since = 0, quiet_since = -1;
+    DrainStage stage = DrainStage::waiting;
+    Seconds since = 0, quiet_since = -1;
   };
-  ServerPlan p_;
+  ServerDrainOptions p_;
   std::size_t cursor_ = 0;  // among the units that wait
   std::map<std::pair<u64, std::string>, Mark> at_;
 };
--- a/packages/drain/proxy_drain.cpp
+++ b/packages/drain/proxy_drain.cpp
@@ -11,16 +11,16 @@
   std::snprintf(b, sizeof b, f, what.c_str(), x, y);
   return b;
 }
-bool out(Stage s) {
-  return s == Stage::cordoned || s == Stage::draining || s == Stage::empty || s == Stage::released;
+bool out(DrainStage s) {
+  return s == DrainStage::cordoned || s == DrainStage::draining || s == DrainStage::empty || s == DrainStage::released;
 }
 }  // namespace
 
-std::map<std::string, RegionRoom> room(std::vector<SeenNode> const& nodes,
-                                       std::function<bool(SeenNode const&)> const& without) {
-  std::map<std::string, RegionRoom> m;
-  for (SeenNode const& n : nodes) {
-    RegionRoom& r = m[n.region];
+std::map<std::string, RegionCapacity> room(std::vector<ProxyObservation> const& nodes,
+                                           std::function<bool(ProxyObservation const&)> const& without) {
+  std::map<std::string, RegionCapacity> m;
+  for (ProxyObservation const& n : nodes) {
+    RegionCapacity& r = m[n.region];
     r.region = n.region;
     if (!n.fresh) continue;
     r.load += n.load;
@@ -31,27 +31,28 @@
   return m;
 }
 
-Moves NodeDrainer::step(State const& s, std::vector<SeenNode> const& nodes, Secs now) {
-  Moves mv;
-  std::map<std::string, SeenNode const*> by_front;
-  for (SeenNode const& n : nodes)
+DrainActions ProxyDrainPlanner::step(ReplicatedState const& s, std::vector<ProxyObservation> const& nodes,
+                                     Seconds now) {
+  DrainActions mv;
+  std::map<std::string, ProxyObservation const*> by_front;
+  for (ProxyObservation const& n : nodes)
     by_front[n.front] = &n;
   std::set<std::string> gone;  // out of service for any pass
-  for (Unit const& u : s.units)
+  for (DrainUnit const& u : s.units)
     if (out(u.stage)) gone.insert(u.name);
-  auto const serving = room(nodes, [&](SeenNode const& n) { return gone.count(n.front) > 0; });
+  auto const serving = room(nodes, [&](ProxyObservation const& n) { return gone.count(n.front) > 0; });
 
   std::set<std::pair<u64, std::string>> live;
-  for (Pass const& p : s.passes) {
+  for (DrainRun const& p : s.passes) {
     if (p.servers || is_over(p.state)) continue;
     // A node that is dark before its turn serves nobody and holds nobody up: the others go on.
-    auto dark = [&](Unit const& u) {
+    auto dark = [&](DrainUnit const& u) {
       auto const it = by_front.find(u.name);
-      return u.stage == Stage::waiting && (it == by_front.end() || !it->second->fresh);
+      return u.stage == DrainStage::waiting && (it == by_front.end() || !it->second->fresh);
     };
     u32 wave = ~0u, of_all = ~0u;
-    for (Unit const& u : s.units) {
-      if (u.pass != p.id || u.stage == Stage::back) continue;
+    for (DrainUnit const& u : s.units) {
+      if (u.pass != p.id || u.stage == DrainStage::back) continue;
       of_all = std::min(of_all, u.wave);
       if (!dark(u)) wave = std::min(wave, u.wave);
     }
@@ -70,16 +71,18 @@
       }
     }
     std::set<std::string> taking;  // begun in this very step
-    for (Unit const& u : s.units) {
-      if (u.pass != p.id || u.wave != wave || u.stage == Stage::back) continue;
+    for (DrainUnit const& u : s.units) {
+      if (u.pass != p.id || u.wave != wave || u.stage == DrainStage::back) continue;
       auto const key = std::make_pair(p.id, u.name);
       live.insert(key);
       Mark& m = at_[key];
       if (m.since == 0 || m.stage != u.stage) m = Mark{u.stage, now, -1};
       auto const it = by_front.find(u.name);
-      SeenNode const* n = it == by_front.end() || !it->second->fresh ? nullptr : it->second;
+      ProxyObservation const* n = it == by_front.end() || !it->second->fresh ? nullptr : it->second;
       std::string const& label = u.node.empty() ? u.name : u.node;
-      auto go = [&](Stage to, u64 life) { mv.moves.push_back(Move{p.id, u.name, u.stage, to, life}); };
+      auto go = [&](DrainStage to, u64 incarnation) {
+        mv.moves.push_back(StageTransition{p.id, u.name, u.stage, to, incarnation});
+      };
       // Out of sight: nothing is known of what it holds, so nothing is decided.
       if (n == nullptr) {
         m.quiet_since = -1;
@@ -87,19 +90,19 @@
         continue;
       }
       // A real shortage takes back who can still serve.
-      if (real.count(n->region) > 0 && (u.stage == Stage::cordoned || u.stage == Stage::draining)) {
-        go(Stage::waiting, 0);
+      if (real.count(n->region) > 0 && (u.stage == DrainStage::cordoned || u.stage == DrainStage::draining)) {
+        go(DrainStage::waiting, 0);
         want = text("region %s: load is %.2f, at most %.2f is wanted; who can still serve is taken back", n->region,
                     serving.at(n->region).load, 1 - p.headroom);
         continue;
       }
       switch (u.stage) {
-        case Stage::waiting: {
-          if (p.state != PassState::running) break;
-          auto const after = room(nodes, [&](SeenNode const& x) {
+        case DrainStage::waiting: {
+          if (p.state != DrainRunState::running) break;
+          auto const after = room(nodes, [&](ProxyObservation const& x) {
             return gone.count(x.front) > 0 || taking.count(x.front) > 0 || x.front == u.name;
           });
-          RegionRoom const& r = after.at(n->region);
+          RegionCapacity const& r = after.at(n->region);
           bool const lately = now - short_[n->region].last < p_.steady;
           if (is_short(r, p.headroom) || lately) {
             if (want.empty())
@@ -109,19 +112,20 @@
             break;
           }
           taking.insert(u.name);
-          go(Stage::cordoned, n->life);
+          go(DrainStage::cordoned, n->incarnation);
           break;
         }
-        case Stage::cordoned:
-          if (n->cordoned_for >= p_.old_lists && n->life != 0 && n->told >= Stage::cordoned)
-            go(Stage::draining, n->life);
+        case DrainStage::cordoned:
+          if (n->cordoned_for >= p_.old_lists && n->incarnation != 0 && n->told >= DrainStage::cordoned)
+            go(DrainStage::draining, n->incarnation);
           break;
-        case Stage::draining: {
-          if (n->life != 0 && n->life != u.life) {  // it began anew under way: what is drained is the new life
-            go(Stage::draining, n->life);
+        case DrainStage::draining: {
+          if (n->incarnation != 0 &&
+              n->incarnation != u.incarnation) {  // it began anew under way: what is drained is the new life
+            go(DrainStage::draining, n->incarnation);
             break;
           }
-          bool const quiet = n->told == Stage::draining && n->keyed == 0 && n->uploads == 0;
+          bool const quiet = n->told == DrainStage::draining && n->keyed == 0 && n->uploads == 0;
           if (!quiet) {
             m.quiet_since = -1;
             if (now - m.since > p.patience && why.empty())
@@ -129,24 +133,26 @@
           } else if (m.quiet_since < 0) {
             m.quiet_since = now;
           } else if (now - m.quiet_since >= p_.settle) {
-            go(Stage::empty, u.life);
+            go(DrainStage::empty, u.incarnation);
           }
           break;
         }
-        case Stage::empty:
-        case Stage::released:
-          if (n->life != 0 && n->life != u.life && n->ready && n->current)
-            go(Stage::back, n->life);
+        case DrainStage::empty:
+        case DrainStage::released:
+          if (n->incarnation != 0 && n->incarnation != u.incarnation && n->ready && n->current)
+            go(DrainStage::back, n->incarnation);
           else if (why.empty())
-            why = label + (n->life == u.life ? ": empty, waits to be restarted" : ": restarted, not ready yet");
+            why = label +
+                  (n->incarnation == u.incarnation ? ": empty, waits to be restarted" : ": restarted, not ready yet");
           break;
-        case Stage::back: break;
+        case DrainStage::back: break;
       }
     }
-    mv.words.push_back(Word{p.id, want.empty() ? why : want});
+    mv.words.push_back(DrainRunMessage{p.id, want.empty() ? why : want});
   }
   std::erase_if(at_, [&](auto const& x) { return live.count(x.first) == 0; });
-  std::erase_if(mv.words, [&](Word const& w) { return s.pass(w.pass) != nullptr && s.pass(w.pass)->why == w.why; });
+  std::erase_if(mv.words,
+                [&](DrainRunMessage const& w) { return s.pass(w.pass) != nullptr && s.pass(w.pass)->why == w.why; });
   return mv;
 }
 
--- a/packages/drain/server_drain.cpp
+++ b/packages/drain/server_drain.cpp
@@ -7,41 +7,42 @@
 
 namespace dockbend {
 
-bool leaves_before(SeenServer const& a, SeenServer const& b) {
-  auto rank = [](SeenServer const& s) {
+bool leaves_before(ServerObservation const& a, ServerObservation const& b) {
+  auto rank = [](ServerObservation const& s) {
     return std::make_tuple(!s.told, s.held.uploads > 0, s.held.bytes, s.held.age, s.held.keyed, s.held.sessions, s.id);
   };
   return rank(a) < rank(b);
 }
 
-Secs ServerDrainer::since(u64 pass, std::string const& name) const {
+Seconds ServerDrainPlanner::since(u64 pass, std::string const& name) const {
   auto const it = at_.find({pass, name});
   return it == at_.end() ? -1 : it->second.since;
 }
 
-std::vector<std::string> ServerDrainer::interest(State const& s) {
+std::vector<std::string> ServerDrainPlanner::interest(ReplicatedState const& s) {
   std::vector<std::string> v, wait;
-  for (Unit const& u : s.units)
-    if (Pass const* p = s.pass(u.pass); p != nullptr && p->servers && u.stage != Stage::back)
-      (u.stage == Stage::waiting ? wait : v).push_back(u.name);
+  for (DrainUnit const& u : s.units)
+    if (DrainRun const* p = s.pass(u.pass); p != nullptr && p->servers && u.stage != DrainStage::back)
+      (u.stage == DrainStage::waiting ? wait : v).push_back(u.name);
   for (std::size_t i = 0; i < std::min(p_.window, wait.size()); ++i)
     v.push_back(wait[(cursor_ + i) % wait.size()]);
   if (!wait.empty()) cursor_ = (cursor_ + p_.window / 4) % wait.size();
   return v;
 }
 
-Moves ServerDrainer::step(State const& s, std::vector<SeenServer> const& servers, Secs now) {
-  Moves mv;
-  std::map<std::string, SeenServer const*> by_id;
-  for (SeenServer const& x : servers)
+DrainActions ServerDrainPlanner::step(ReplicatedState const& s, std::vector<ServerObservation> const& servers,
+                                      Seconds now) {
+  DrainActions mv;
+  std::map<std::string, ServerObservation const*> by_id;
+  for (ServerObservation const& x : servers)
     by_id[x.id] = &x;
   std::set<std::string> gone;
-  for (Unit const& u : s.units)
-    if (u.stage == Stage::draining || u.stage == Stage::empty) gone.insert(u.name);
+  for (DrainUnit const& u : s.units)
+    if (u.stage == DrainStage::draining || u.stage == DrainStage::empty) gone.insert(u.name);
   using Place = std::pair<std::string, std::string>;  // service, region
   std::map<Place, double> slots, used;
   std::map<std::string, u32> serving;
-  for (SeenServer const& x : servers) {
+  for (ServerObservation const& x : servers) {
     if (!x.present) continue;
     used[{x.service, x.region}] += x.held.sessions;
     if (!x.ready || gone.count(x.id) > 0) continue;
@@ -49,15 +50,15 @@
     ++serving[x.service];
   }
   std::set<std::pair<u64, std::string>> live;
-  for (Pass const& p : s.passes) {
+  for (DrainRun const& p : s.passes) {
     if (!p.servers || is_over(p.state)) continue;
     std::string why;
     std::map<std::string, u32> left;  // units of a service that are out for good
-    std::vector<SeenServer const*> next;
-    std::map<std::string, Unit const*> unit;
-    for (Unit const& u : s.units) {
+    std::vector<ServerObservation const*> next;
+    std::map<std::string, DrainUnit const*> unit;
+    for (DrainUnit const& u : s.units) {
       if (u.pass != p.id) continue;
-      if (u.stage == Stage::back) {
+      if (u.stage == DrainStage::back) {
         ++left[u.node];  // the service's name
         continue;
       }
@@ -66,18 +67,18 @@
       Mark& m = at_[key];
       if (m.since == 0 || m.stage != u.stage) m = Mark{u.stage, now, -1};
       auto const it = by_id.find(u.name);
-      auto go = [&](Stage to) { mv.moves.push_back(Move{p.id, u.name, u.stage, to, 0}); };
+      auto go = [&](DrainStage to) { mv.moves.push_back(StageTransition{p.id, u.name, u.stage, to, 0}); };
       if (it == by_id.end() || !it->second->present) {  // it left, or was lost
-        go(Stage::back);
+        go(DrainStage::back);
         continue;
       }
-      SeenServer const& x = *it->second;
+      ServerObservation const& x = *it->second;
       switch (u.stage) {
-        case Stage::waiting:
+        case DrainStage::waiting:
           next.push_back(&x);
           unit[x.id] = &u;
           break;
-        case Stage::draining: {
+        case DrainStage::draining: {
           bool const quiet = x.told && x.held.uploads == 0 && x.held.keyed == 0 && x.held.sessions == 0;
           if (!quiet) {
             m.quiet_since = -1;
@@ -90,23 +91,23 @@
           } else if (m.quiet_since < 0) {
             m.quiet_since = now;
           } else if (now - m.quiet_since >= p_.settle && now - m.since >= p_.spread) {
-            go(Stage::empty);
+            go(DrainStage::empty);
           }
           break;
         }
-        case Stage::empty:
+        case DrainStage::empty:
           if (why.empty()) why = u.name + ": empty, may be ended";
           break;
         default: break;
       }
     }
-    if (p.state == PassState::running) {
+    if (p.state == DrainRunState::running) {
       std::sort(next.begin(), next.end(),
-                [](SeenServer const* a, SeenServer const* b) { return leaves_before(*a, *b); });
+                [](ServerObservation const* a, ServerObservation const* b) { return leaves_before(*a, *b); });
       std::map<std::string, u32> had;
-      for (Had const& h : p.had)
+      for (InitialServerCount const& h : p.had)
         had[h.service] = h.n;
-      for (SeenServer const* x : next) {
+      for (ServerObservation const* x : next) {
         u32 const of = had[x->service] - std::min(had[x->service], p.replaced ? 0 : left[x->service]);
         u32 const missing = of - std::min(of, serving[x->service]);
         if (missing >= p.max_out) {
@@ -125,17 +126,18 @@
           }
           continue;
         }
-        mv.moves.push_back(Move{p.id, x->id, Stage::waiting, Stage::draining, 0});
+        mv.moves.push_back(StageTransition{p.id, x->id, DrainStage::waiting, DrainStage::draining, 0});
         if (x->ready) {
           slots[at] = keeps;
           --serving[x->service];
         }
       }
     }
-    mv.words.push_back(Word{p.id, why});
+    mv.words.push_back(DrainRunMessage{p.id, why});
   }
   std::erase_if(at_, [&](auto const& x) { return live.count(x.first) == 0; });
-  std::erase_if(mv.words, [&](Word const& w) { return s.pass(w.pass) != nullptr && s.pass(w.pass)->why == w.why; });
+  std::erase_if(mv.words,
+                [&](DrainRunMessage const& w) { return s.pass(w.pass) != nullptr && s.pass(w.pass)->why == w.why; });
   return mv;
 }
 
--- a/packages/idempotency/include/idempotency/claim_coordinator.hpp
+++ b/packages/idempotency/include/idempotency/claim_coordinator.hpp
@@ -18,36 +18,36 @@
 
 // What is to be sent. A disk is named by its node's address; `tag` names the question and
 // comes back with the answer.
-struct ClaimOut {
+struct SendClaim {
   std::string to;
   u32 tag = 0;
-  Claim claim;
+  ClaimRequest claim;
 };
-struct ReleaseOut {
+struct SendRelease {
   std::string to;
-  Release release;
+  ReleaseRequest release;
 };
-struct FetchOut {
+struct SendFetch {
   std::string to;
   u32 tag = 0;
-  Fetch fetch;
+  FetchAnswerRequest fetch;
 };
-struct StoreOut {
+struct SendStore {
   std::string to, answer;
 };
-struct PullOut {  // it knows a newer roster than ours
+struct SendCatchUp {  // it knows a newer roster than ours
   std::string to;
 };
-struct AnswerOut {  // to the proxy's connection that asked
+struct SendAnswer {  // to the proxy's connection that asked
   u64 asker = 0;
   u32 tag = 0;
-  AskR answer;
+  AcquireKeyResponse answer;
 };
-using ClaimStep = std::variant<ClaimOut, ReleaseOut, FetchOut, StoreOut, PullOut, AnswerOut>;
+using ClaimAction = std::variant<SendClaim, SendRelease, SendFetch, SendStore, SendCatchUp, SendAnswer>;
 
 // What an answer is checked by, and when a key may be given back. Tests plant faults here.
 template <class P>
-concept ClaimPolicy = requires(u64 c, Epoch e, Life l, std::string const& s, Outcome o, bool b) {
+concept ClaimPolicy = requires(u64 c, Epoch e, Incarnation l, std::string const& s, KeyOutcome o, bool b) {
   { P::same_connection(c, c) } -> std::same_as<bool>;
   { P::same_epoch(e, e) } -> std::same_as<bool>;
   { P::same_disk(l, l) } -> std::same_as<bool>;
@@ -57,14 +57,14 @@
   { P::not_run(o) } -> std::same_as<bool>;
   { P::may_release(b) } -> std::same_as<bool>;
 };
-struct Strict {
+struct StrictClaimPolicy {
   static bool same_connection(u64 asked, u64 heard) { return asked == heard; }
   static bool same_epoch(Epoch asked, Epoch said) { return asked == said; }
-  static bool same_disk(Life roster, Life said) { return roster == said; }
+  static bool same_disk(Incarnation membership, Incarnation said) { return membership == said; }
   static bool same_holder(u64 asked, u64 said) { return asked == said; }
   static bool same_key(std::string const& asked, std::string const& said) { return asked == said; }
   static std::string voter(std::string const& ip) { return ip; }
-  static bool not_run(Outcome o) { return o == Outcome::not_run; }
+  static bool not_run(KeyOutcome o) { return o == KeyOutcome::not_run; }
   static bool may_release(bool run_said) { return !run_said; }
 };
 
@@ -75,10 +75,10 @@
 // names what a disk was asked on; `sent` names every disk that may hold a grant of the
 // holder. A key is released only while `run` was not said, or once the proxy says that
 // the request did not run; from then on its holder claims no more.
-template <ClaimPolicy P = Strict>
-class Claims {
+template <ClaimPolicy P = StrictClaimPolicy>
+class ClaimCoordinator {
  public:
-  Claims(std::string zone, std::string region, std::string node)
+  ClaimCoordinator(std::string zone, std::string region, std::string node)
       : zone_(std::move(zone)), region_(std::move(region)), node_(std::move(node)) {}
 
   // ---- disks ---------------------------------------------------------------------
@@ -91,7 +91,7 @@
     if (auto const it = owed_.find(ip); it != owed_.end()) {
       for (Owed& o : it->second) {
         o.at = now_;
-        out_.emplace_back(ReleaseOut{ip, o.release});
+        out_.emplace_back(SendRelease{ip, o.release});
       }
     }
     // What was asked over the connection before is asked anew.
@@ -112,12 +112,12 @@
     for (u32 const tag : over)
       no_answer(jobs_.find(tag));
   }
-  void rtt(std::string const& ip, Secs s) { disks_[ip].rtt = s; }
-  void roster(State const& s, Secs now) {
+  void rtt(std::string const& ip, Seconds s) { disks_[ip].rtt = s; }
+  void membership(ReplicatedState const& s, Seconds now) {
     bool const fresh = !have_ || s.epoch != epoch_;
     have_ = true;
     epoch_ = s.epoch;
-    members_ = s.roster;
+    members_ = s.membership;
     std::erase_if(owed_, [&](auto const& x) { return s.member(x.first) == nullptr; });
     order();
     if (!fresh) return;
@@ -142,9 +142,9 @@
       release(h.key, holder, h.sent);
     held_.clear();
   }
-  void ask(u64 asker, u32 tag, Ask const& a, Secs now) {
-    if (asker != proxy_) return strays_.drop(Stray::connection);
-    if (by_holder_.count(a.holder) > 0 || held_.count(a.holder) > 0) return strays_.drop(Stray::twice);
+  void ask(u64 asker, u32 tag, AcquireKeyRequest const& a, Seconds now) {
+    if (asker != proxy_) return unmatched_.drop(UnmatchedReason::connection);
+    if (by_holder_.count(a.holder) > 0 || held_.count(a.holder) > 0) return unmatched_.drop(UnmatchedReason::twice);
     do
       ++next_;
     while (next_ == 0 || jobs_.count(next_) > 0);
@@ -158,14 +158,14 @@
     j.end_at = now + std::min(2.0, a.work_ms / 1000.0 * 0.7);
     by_holder_[a.holder] = next_;
     if (have_) return begin(next_, j, now);
-    answer(j, Leave::unavailable);
+    answer(j, AcquireResult::unavailable);
     end(jobs_.find(next_));
   }
   // How the request ended, or that its time ran out before we answered.
-  void told(Told const& t) {
+  void told(KeyOutcomeNotice const& t) {
     if (auto const h = by_holder_.find(t.holder); h != by_holder_.end()) {
       auto const it = jobs_.find(h->second);
-      answer(it->second, Leave::unavailable);
+      answer(it->second, AcquireResult::unavailable);
       release(it->second);
       return end(it);
     }
@@ -179,8 +179,8 @@
     }
     if (P::not_run(t.outcome)) return release(t.key, t.holder, sent);
     std::string ret = t.ret;
-    if (t.outcome != Outcome::returned) {  // lost, or a word that we don't know
-      Return r;
+    if (t.outcome != KeyOutcome::returned) {  // lost, or a word that we don't know
+      StoredAnswer r;
       r.key = t.key;
       r.holder = t.holder;
       r.lost = true;
@@ -189,58 +189,59 @@
     }
     for (std::string const& ip : near_)
       if (may_see_body(ip, t.homes)) {
-        out_.emplace_back(StoreOut{ip, std::move(ret)});
+        out_.emplace_back(SendStore{ip, std::move(ret)});
         break;
       }
   }
   // ---- answers of disks ----------------------------------------------------------
-  void heard(std::string const& ip, u64 connection, u32 tag, ClaimR const& r, Secs now) {
+  void heard(std::string const& ip, u64 connection, u32 tag, ClaimResponse const& r, Seconds now) {
     auto const it = jobs_.find(tag);
-    if (it == jobs_.end() || it->second.fetching) return strays_.drop(Stray::no_question);
+    if (it == jobs_.end() || it->second.fetching) return unmatched_.drop(UnmatchedReason::no_question);
     Job& j = it->second;
-    if (!asked_on(j, ip, connection)) return strays_.drop(Stray::connection);
-    if (!P::same_holder(j.holder, r.holder)) return strays_.drop(Stray::other_key);
+    if (!asked_on(j, ip, connection)) return unmatched_.drop(UnmatchedReason::connection);
+    if (!P::same_holder(j.holder, r.holder)) return unmatched_.drop(UnmatchedReason::other_key);
     Member const* const m = member(ip);
-    if (m == nullptr || !P::same_disk(m->life, r.life)) return strays_.drop(Stray::disk_life);
-    bool const vote = r.say == Say::granted || r.say == Say::held;
-    if (vote && !P::same_epoch(epoch_, r.epoch)) return strays_.drop(Stray::epoch);
-    if (vote && !j.voted.insert(P::voter(ip)).second) return strays_.drop(Stray::twice);
-    ClaimR said = r;
+    if (m == nullptr || !P::same_disk(m->incarnation, r.incarnation))
+      return unmatched_.drop(UnmatchedReason::disk_life);
+    bool const vote = r.say == ClaimVote::granted || r.say == ClaimVote::held;
+    if (vote && !P::same_epoch(epoch_, r.epoch)) return unmatched_.drop(UnmatchedReason::epoch);
+    if (vote && !j.voted.insert(P::voter(ip)).second) return unmatched_.drop(UnmatchedReason::twice);
+    ClaimResponse said = r;
     if (vote) said.epoch = epoch_;  // judged above
     switch (j.q.hear(P::voter(ip), said)) {
-      case Quest::End::granted: {
-        answer(j, Leave::run);
+      case ClaimQuorum::Result::granted: {
+        answer(j, AcquireResult::run);
         held_[j.holder] = Kept{std::move(j.key), std::move(j.sent), now};
         return end(it);
       }
-      case Quest::End::held:
+      case ClaimQuorum::Result::held:
         j.at_work = j.q.at_work();
         release(j);
         return fetch(it, now);
-      case Quest::End::open:
-      case Quest::End::failed: break;
+      case ClaimQuorum::Result::open:
+      case ClaimQuorum::Result::failed: break;
     }
-    if (r.say == Say::held && j.q.refusals() == 1) widen(tag, j);
-    if (r.say == Say::unready && !j.widened) widen(tag, j);
-    if (r.say == Say::epoch && r.epoch > epoch_) out_.emplace_back(PullOut{ip});
+    if (r.say == ClaimVote::held && j.q.refusals() == 1) widen(tag, j);
+    if (r.say == ClaimVote::unready && !j.widened) widen(tag, j);
+    if (r.say == ClaimVote::epoch && r.epoch > epoch_) out_.emplace_back(SendCatchUp{ip});
   }
-  void heard(std::string const& ip, u64 connection, u32 tag, FetchR const& r) {
+  void heard(std::string const& ip, u64 connection, u32 tag, FetchAnswerResponse const& r) {
     auto const it = jobs_.find(tag);
-    if (it == jobs_.end() || !it->second.fetching) return strays_.drop(Stray::no_question);
+    if (it == jobs_.end() || !it->second.fetching) return unmatched_.drop(UnmatchedReason::no_question);
     Job& j = it->second;
-    if (j.asked.count(ip) == 0) return strays_.drop(Stray::twice);
-    if (!asked_on(j, ip, connection)) return strays_.drop(Stray::connection);
+    if (j.asked.count(ip) == 0) return unmatched_.drop(UnmatchedReason::twice);
+    if (!asked_on(j, ip, connection)) return unmatched_.drop(UnmatchedReason::connection);
     if (r.have) {
-      Return const ret = codec::unpack<Return>(r.ret);
-      if (!P::same_key(j.key, ret.key)) return strays_.drop(Stray::other_key);
-      answer(j, ret.lost ? Leave::lost : Leave::repeat, r.ret);
+      StoredAnswer const ret = codec::unpack<StoredAnswer>(r.ret);
+      if (!P::same_key(j.key, ret.key)) return unmatched_.drop(UnmatchedReason::other_key);
+      answer(j, ret.lost ? AcquireResult::lost : AcquireResult::repeat, r.ret);
       return end(it);
     }
     j.asked.erase(ip);
     if (j.asked.empty()) no_answer(it);
   }
 
-  void tick(Secs now) {
+  void tick(Seconds now) {
     now_ = now;
     std::vector<u32> due;
     for (auto const& [tag, j] : jobs_)
@@ -252,7 +253,8 @@
         no_answer(it);
       } else if (now > j.end_at) {
         release(j);
-        answer(j, j.q.refusals() > 0 && j.q.grants() == 0 && j.q.at_work() ? Leave::at_work : Leave::unavailable);
+        answer(j, j.q.refusals() > 0 && j.q.grants() == 0 && j.q.at_work() ? AcquireResult::at_work
+                                                                           : AcquireResult::unavailable);
         end(it);
       } else {
         widen(tag, j);
@@ -271,20 +273,20 @@
     std::erase_if(held_, [&](auto const& x) { return now - x.second.since > 60; });
   }
 
-  std::vector<ClaimStep> take() {
-    std::vector<ClaimStep> v;
+  std::vector<ClaimAction> take() {
+    std::vector<ClaimAction> v;
     v.swap(out_);
     return v;
   }
   std::size_t open() const { return jobs_.size(); }
   std::size_t held() const { return held_.size(); }
-  Strays& strays() { return strays_; }
-  Strays const& strays() const { return strays_; }
+  UnmatchedMessages& unmatched() { return unmatched_; }
+  UnmatchedMessages const& unmatched() const { return unmatched_; }
 
  private:
   struct Disk {
     u64 connection = 0;  // 0: down
-    Secs rtt = 0.1;
+    Seconds rtt = 0.1;
     bool relayed = false;
   };
   struct Job {
@@ -292,24 +294,24 @@
     u64 holder = 0, asker = 0;
     u32 work_ms = 0, tag = 0;
     std::vector<std::string> homes;
-    Quest q{0, Epoch()};
+    ClaimQuorum q{0, Epoch()};
     std::set<std::string> sent, voted;
     std::map<std::string, u64> asked;  // in this quest or this fetch: over which connection
-    Secs widen_at = 0, end_at = 0;
+    Seconds widen_at = 0, end_at = 0;
     bool fetching = false, at_work = false, widened = false;
   };
   using Jobs = std::unordered_map<u32, Job>;
   struct Kept {
     std::string key;
     std::set<std::string> sent;
-    Secs since = 0;
+    Seconds since = 0;
   };
   struct Owed {
-    Release release;
-    Secs at = 0;  // said over the connection that is up; while it is down: since when
+    ReleaseRequest release;
+    Seconds at = 0;  // said over the connection that is up; while it is down: since when
   };
   static constexpr std::size_t most_owed = 1024;
-  static constexpr Secs release_kept = 5;  // longer than a silent connection is borne
+  static constexpr Seconds release_kept = 5;  // longer than a silent connection is borne
 
   bool asked_on(Job const& j, std::string const& ip, u64 connection) const {
     auto const it = j.asked.find(ip);
@@ -344,8 +346,8 @@
       near_.push_back(std::move(x.second));
   }
 
-  void answer(Job const& j, Leave leave, std::string ret = "") {
-    AnswerOut a;
+  void answer(Job const& j, AcquireResult leave, std::string ret = "") {
+    SendAnswer a;
     a.asker = j.asker;
     a.tag = j.tag;
     a.answer.holder = j.holder;
@@ -360,13 +362,13 @@
 
   // A majority of the nearest disks is asked; the others only if one of these keeps us
   // waiting, for bytes between regions are dear.
-  void begin(u32 tag, Job& j, Secs now) {
-    j.q = Quest(members_.size(), epoch_);
+  void begin(u32 tag, Job& j, Seconds now) {
+    j.q = ClaimQuorum(members_.size(), epoch_);
     j.widened = false;
     j.asked.clear();
     j.voted.clear();
     std::size_t const want = std::min(near_.size(), members_.size() / 2 + 1);
-    Secs worst = 0;
+    Seconds worst = 0;
     for (std::size_t i = 0; i < want; ++i) {
       claim(tag, j, near_[i]);
       worst = std::max(worst, disks_[near_[i]].rtt);
@@ -376,15 +378,15 @@
   void claim(u32 tag, Job& j, std::string const& ip) {
     Member const* m = member(ip);
     if (m == nullptr) return;
-    Claim c;
+    ClaimRequest c;
     c.key = j.key;
     c.holder = j.holder;
     c.epoch = epoch_;
-    c.life = m->life;
+    c.incarnation = m->incarnation;
     c.work_ms = j.work_ms;
     j.sent.insert(ip);
     j.asked[ip] = disks_[ip].connection;
-    out_.emplace_back(ClaimOut{ip, tag, std::move(c)});
+    out_.emplace_back(SendClaim{ip, tag, std::move(c)});
   }
   void widen(u32 tag, Job& j) {
     j.widened = true;
@@ -395,29 +397,29 @@
   // Said again over a disk's next connection if this one ends soon; else a key that nobody
   // runs stays taken.
   void release(std::string const& key, u64 holder, std::set<std::string> const& ips) {
-    Release r;
+    ReleaseRequest r;
     r.key = key;
     r.holder = holder;
     for (std::string const& ip : ips) {
       bool const up = disks_[ip].connection != 0;
-      if (up) out_.emplace_back(ReleaseOut{ip, r});
+      if (up) out_.emplace_back(SendRelease{ip, r});
       std::deque<Owed>& l = owed_[ip];
       l.push_back({r, now_});
       if (l.size() <= most_owed) continue;
       l.pop_front();
-      if (!up) strays_.drop(Stray::owed);
+      if (!up) unmatched_.drop(UnmatchedReason::owed);
     }
   }
-  void fetch(typename Jobs::iterator it, Secs now) {
+  void fetch(typename Jobs::iterator it, Seconds now) {
     Job& j = it->second;
     j.fetching = true;
     j.asked.clear();
-    Secs worst = 0;
+    Seconds worst = 0;
     for (std::string const& ip : near_) {
       if (!may_see_body(ip, j.homes)) continue;
       worst = std::max(worst, disks_[ip].rtt);
       j.asked[ip] = disks_[ip].connection;
-      FetchOut f;
+      SendFetch f;
       f.to = ip;
       f.tag = it->first;
       f.fetch.key = j.key;
@@ -427,7 +429,7 @@
     if (j.asked.empty()) no_answer(it);
   }
   void no_answer(typename Jobs::iterator it) {
-    answer(it->second, it->second.at_work ? Leave::at_work : Leave::lost);
+    answer(it->second, it->second.at_work ? AcquireResult::at_work : AcquireResult::lost);
     end(it);
   }
 
@@ -441,11 +443,11 @@
   std::unordered_map<u64, u32> by_holder_;        // of jobs_
   std::unordered_map<u64, Kept> held_;            // `run` was said, and no outcome told yet
   std::map<std::string, std::deque<Owed>> owed_;  // oldest first
-  std::vector<ClaimStep> out_;
+  std::vector<ClaimAction> out_;
   u64 proxy_ = 0;
   u32 next_ = 0;
-  Secs now_ = 0, swept_ = 0;  // now_: of the last tick
-  Strays strays_;
+  Seconds now_ = 0, swept_ = 0;  // now_: of the last tick
+  UnmatchedMessages unmatched_;
 };
 
 }  // namespace dockbend
--- a/packages/idempotency/include/idempotency/key_table.hpp
+++ b/packages/idempotency/include/idempotency/key_table.hpp
@@ -9,68 +9,70 @@
 
 namespace dockbend {
 
-enum class Say : u8 { granted = 1, held = 2, epoch = 3, unready = 4 };
+enum class ClaimVote : u8 { granted = 1, held = 2, epoch = 3, unready = 4 };
 
-struct Claim {
-  DB_RECORD(Claim, (std::string, key), (u64, holder), (Epoch, epoch), (Life, life), (u32, work_ms));
+struct ClaimRequest {
+  DB_RECORD(ClaimRequest, (std::string, key), (u64, holder), (Epoch, epoch), (Incarnation, incarnation),
+            (u32, work_ms));
 };
 // holder: whose claim this answers.
-struct ClaimR {
-  DB_RECORD(ClaimR, (Say, say), (u64, holder), (Epoch, epoch), (Life, life), (bool, at_work));
+struct ClaimResponse {
+  DB_RECORD(ClaimResponse, (ClaimVote, say), (u64, holder), (Epoch, epoch), (Incarnation, incarnation),
+            (bool, at_work));
 };
-struct Release {
-  DB_RECORD(Release, (std::string, key), (u64, holder));
+struct ReleaseRequest {
+  DB_RECORD(ReleaseRequest, (std::string, key), (u64, holder));
 };
 // A first answer, kept in the key's home regions only.
-struct Return {
-  DB_RECORD(Return, (std::string, key), (u64, holder), (u32, code), (std::string, reason),
+struct StoredAnswer {
+  DB_RECORD(StoredAnswer, (std::string, key), (u64, holder), (u32, code), (std::string, reason),
             (std::vector<std::string>, heads), (std::string, body), (bool, lost), (std::vector<std::string>, homes));
 };
-struct Fetch {
-  DB_RECORD(Fetch, (std::string, key));
+struct FetchAnswerRequest {
+  DB_RECORD(FetchAnswerRequest, (std::string, key));
 };
-struct FetchR {
-  DB_RECORD(FetchR, (bool, have), (std::string, ret));
+struct FetchAnswerResponse {
+  DB_RECORD(FetchAnswerResponse, (bool, have), (std::string, ret));
 };
-struct Rebuild {
-  DB_RECORD(Rebuild, (Epoch, epoch), (u32, part));
+struct KeyCopyRequest {
+  DB_RECORD(KeyCopyRequest, (Epoch, epoch), (u32, part));
 };
 struct HeldKey {
   DB_RECORD(HeldKey, (std::string, key), (u64, holder));
 };
-struct RebuildR {
+struct KeyCopyResponse {
   // epoch: of the disk that was copied; nothing was granted under an earlier one after that.
-  DB_RECORD(RebuildR, (bool, ok), (Life, life), (std::vector<HeldKey>, keys), (Epoch, epoch));
+  DB_RECORD(KeyCopyResponse, (bool, ok), (Incarnation, incarnation), (std::vector<HeldKey>, keys), (Epoch, epoch));
 };
 
 // Invariants: a key has one holder until released by that holder or forgotten
 // after the horizon; a sealed entry (copied from others) is never granted again,
 // not even to its own holder; one that was copied with two holders is nobody's, and no
 // holder's release frees it, for the other may have run; nothing is granted before the ledger is whole.
-class Ledger {
+class KeyTable {
  public:
   struct Entry {
     u64 holder = 0;
     bool sealed = false;
     bool durable = false;
-    Secs since = 0, work_until = 0;
+    Seconds since = 0, work_until = 0;
   };
-  explicit Ledger(bool whole) : whole_(whole) {}
+  explicit KeyTable(bool whole) : whole_(whole) {}
 
   // granted: put it on disk, then call durable() and reply.
-  Say claim(Claim const& c, Epoch mine, Secs now, ClaimR& r);
+  ClaimVote claim(ClaimRequest const& c, Epoch mine, Seconds now, ClaimResponse& r);
   // The write of this holder's entry came to its end; true: the grant stands and may be
   // said. It may have been released, and given to another, while it was written.
   bool written(std::string const& key, u64 holder, bool ok);
   // Whoever released claims no more: a claim of it that comes later was overtaken.
-  bool release(Release const& r);
+  bool release(ReleaseRequest const& r);
   u64 late() const { return late_; }  // claims that their release had overtaken
   static constexpr u64 nobody = 0;
   // The holder to keep on disk.
-  u64 seal(std::string const& key, u64 holder, Secs now);
+  u64 seal(std::string const& key, u64 holder, Seconds now);
   // Drops what is older than the horizon; the names dropped are returned.
-  std::vector<std::string> forget(Secs horizon, Secs now, std::size_t most);
-  void load(std::string const& key, u64 holder, bool sealed, Secs now);
+  std::vector<std::string> forget(Seconds horizon, Seconds now, std::size_t most);
+  void load(std::string const& key, u64 holder, bool sealed, Seconds now);
   std::vector<HeldKey> all() const;
   bool whole() const { return whole_; }
   void set_whole(bool w = true) { whole_ = w; }
@@ -86,12 +88,12 @@
 };
 
 // The asker's side: counts grants until a majority of one epoch's roster holds.
-class Quest {
+class ClaimQuorum {
  public:
-  enum class End { open, granted, held, failed };
-  Quest(std::size_t roster, Epoch e) : n_(roster), epoch_(e) {}
+  enum class Result { open, granted, held, failed };
+  ClaimQuorum(std::size_t membership, Epoch e) : n_(membership), epoch_(e) {}
   // from: "ip/life" as in the roster. A say of another epoch does not count.
-  End hear(std::string const& from, ClaimR const& r);
+  Result hear(std::string const& from, ClaimResponse const& r);
   bool at_work() const { return at_work_; }
   bool stale() const { return stale_; }
   Epoch epoch() const { return epoch_; }
--- a/packages/idempotency/key_backfill.cpp
+++ b/packages/idempotency/key_backfill.cpp
@@ -2,9 +2,10 @@
 
 namespace dockbend {
 
-RebuildR Filling::answer(Ledger const& l, Life mine, std::optional<Epoch> epoch, Rebuild const& q) {
-  RebuildR r;
-  r.life = mine;
+KeyCopyResponse KeyBackfill::answer(KeyTable const& l, Incarnation mine, std::optional<Epoch> epoch,
+                                    KeyCopyRequest const& q) {
+  KeyCopyResponse r;
+  r.incarnation = mine;
   r.ok = l.whole() && epoch && *epoch >= q.epoch;
   if (!r.ok) return r;
   r.epoch = *epoch;
@@ -12,11 +13,12 @@
   return r;
 }
 
-Filling::Step Filling::hear(std::string const& ip, RebuildR const& r, std::optional<Life> named, Epoch epoch,
-                            std::size_t majority, Ledger& l, Secs now) {
-  Step s;
+KeyBackfill::Progress KeyBackfill::hear(std::string const& ip, KeyCopyResponse const& r,
+                                        std::optional<Incarnation> named, Epoch epoch, std::size_t majority,
+                                        KeyTable& l, Seconds now) {
+  Progress s;
   // An answer to what we asked under an earlier roster may lack what was won since.
-  if (l.whole() || !r.ok || named != r.life || r.epoch < epoch || !heard_.insert(ip).second) return s;
+  if (l.whole() || !r.ok || named != r.incarnation || r.epoch < epoch || !heard_.insert(ip).second) return s;
   for (HeldKey const& k : r.keys) {
     HeldKey h = k;
     h.holder = l.seal(k.key, k.holder, now);
--- a/packages/idempotency/key_table.cpp
+++ b/packages/idempotency/key_table.cpp
@@ -4,14 +4,14 @@
 
 namespace dockbend {
 
-Say Ledger::claim(Claim const& c, Epoch mine, Secs now, ClaimR& r) {
+ClaimVote KeyTable::claim(ClaimRequest const& c, Epoch mine, Seconds now, ClaimResponse& r) {
   r.epoch = mine;
   r.holder = c.holder;
-  if (!whole_) return r.say = Say::unready;
-  if (c.epoch != mine) return r.say = Say::epoch;
+  if (!whole_) return r.say = ClaimVote::unready;
+  if (c.epoch != mine) return r.say = ClaimVote::epoch;
   if (given_up_.count(c.holder) > 0) {  // its release overtook it
     ++late_;
-    return r.say = Say::held;
+    return r.say = ClaimVote::held;
   }
   auto const [it, fresh] = m_.try_emplace(c.key);
   Entry& e = it->second;
@@ -19,14 +19,14 @@
     e.holder = c.holder;
     e.since = now;
     e.work_until = now + c.work_ms / 1000.0;
-    return r.say = Say::granted;
+    return r.say = ClaimVote::granted;
   }
-  if (e.holder == c.holder && !e.sealed) return r.say = Say::granted;
+  if (e.holder == c.holder && !e.sealed) return r.say = ClaimVote::granted;
   r.at_work = now < e.work_until;
-  return r.say = Say::held;
+  return r.say = ClaimVote::held;
 }
 
-bool Ledger::written(std::string const& key, u64 holder, bool ok) {
+bool KeyTable::written(std::string const& key, u64 holder, bool ok) {
   auto const it = m_.find(key);
   if (it == m_.end() || it->second.holder != holder) return false;
   if (ok)
@@ -36,7 +36,7 @@
   return ok;
 }
 
-bool Ledger::release(Release const& r) {
+bool KeyTable::release(ReleaseRequest const& r) {
   if (r.holder == nobody) return false;
   if (given_up_.insert(r.holder).second) {
     given_up_order_.push_back(r.holder);
@@ -51,7 +51,7 @@
   return true;
 }
 
-u64 Ledger::seal(std::string const& key, u64 holder, Secs now) {
+u64 KeyTable::seal(std::string const& key, u64 holder, Seconds now) {
   auto const [it, fresh] = m_.try_emplace(key);
   Entry& e = it->second;
   if (fresh) {
@@ -65,12 +65,12 @@
   return e.holder;
 }
 
-void Ledger::load(std::string const& key, u64 holder, bool sealed, Secs now) {
+void KeyTable::load(std::string const& key, u64 holder, bool sealed, Seconds now) {
   // How long the process was away can't be known, so the age starts anew.
   m_[key] = Entry{holder, sealed, true, now, now};
 }
 
-std::vector<std::string> Ledger::forget(Secs horizon, Secs now, std::size_t most) {
+std::vector<std::string> KeyTable::forget(Seconds horizon, Seconds now, std::size_t most) {
   std::vector<std::string> out;
   for (auto it = m_.begin(); it != m_.end() && out.size() < most;) {
     if (it->second.durable && now - it->second.since > horizon) {
@@ -83,7 +83,7 @@
   return out;
 }
 
-std::vector<HeldKey> Ledger::all() const {
+std::vector<HeldKey> KeyTable::all() const {
   std::vector<HeldKey> out;
   out.reserve(m_.size());
   for (auto const& [k, e] : m_) {
@@ -95,26 +95,26 @@
   return out;
 }
 
-Quest::End Quest::hear(std::string const& from, ClaimR const& r) {
+ClaimQuorum::Result ClaimQuorum::hear(std::string const& from, ClaimResponse const& r) {
   auto add = [&](std::vector<std::string>& v) {
     if (std::find(v.begin(), v.end(), from) == v.end()) v.push_back(from);
   };
   std::size_t const maj = n_ / 2 + 1;
   switch (r.say) {
-    case Say::granted:
+    case ClaimVote::granted:
       if (r.epoch == epoch_) add(yes_);
       break;
-    case Say::held:
+    case ClaimVote::held:
       if (r.epoch != epoch_) break;
       at_work_ = at_work_ || r.at_work;
       add(no_);
       break;
-    case Say::epoch: stale_ = true; break;
-    case Say::unready: break;
+    case ClaimVote::epoch: stale_ = true; break;
+    case ClaimVote::unready: break;
   }
-  if (yes_.size() >= maj) return End::granted;
-  if (no_.size() > n_ - maj) return End::held;
-  return End::open;
+  if (yes_.size() >= maj) return Result::granted;
+  if (no_.size() > n_ - maj) return Result::held;
+  return Result::open;
 }
 
 }  // namespace dockbend
--- a/packages/leases/include/leases/usage_reporter.hpp
+++ b/packages/leases/include/leases/usage_reporter.hpp
@@ -7,21 +7,21 @@
 
 namespace dockbend {
 
-struct ReportPlan {
-  double period = 5;  // reportPeriodS
-  Secs settle = 1.5;  // after a window's end, if every proxy has gone on to the next
-  Secs late = 6;      // else: those that are cut off may come back until then
-  Secs call = 1.0;    // a call's whole deadline
-  Secs gap = 0.05;    // least time between two calls
-  Secs back_first = 0.4, back_most = 3.0, told_most = 300;
+struct UsageReportOptions {
+  double period = 5;     // reportPeriodS
+  Seconds settle = 1.5;  // after a window's end, if every proxy has gone on to the next
+  Seconds late = 6;      // else: those that are cut off may come back until then
+  Seconds call = 1.0;    // a call's whole deadline
+  Seconds gap = 0.05;    // least time between two calls
+  Seconds back_first = 0.4, back_most = 3.0, told_most = 300;
 };
 
 // Invariants: a window is sent only after its body was fixed on a majority, and every
 // time with those bytes; windows are sent in their order, one call at a time; a window
 // is ticked off only after a 200 (or after the platform refused it for good).
-class Reporter {
+class UsageReporter {
  public:
-  explicit Reporter(ReportPlan p) : p_(p) {}
+  explicit UsageReporter(UsageReportOptions p) : p_(p) {}
 
   struct Send {
     u64 window = 0;
@@ -29,26 +29,27 @@
   };
   // The body that should be fixed now. held_for: how long we have had the duty; who
   // has just got it waits for the counts that others have yet to send it.
-  std::optional<FixedWindow> to_fix(State const& s, Totals const& t, Wall true_now, Secs now, Secs held_for);
+  std::optional<FrozenUsageReport> to_fix(ReplicatedState const& s, UsageTotals const& t, WallSeconds true_now,
+                                          Seconds now, Seconds held_for);
   // The register's change: fixes the body if its window is still the next, and ticks
   // off what was acknowledged. True if it changed anything.
-  static bool fix(State& s, FixedWindow const& f);
-  static bool tick_off(State& s, u64 window);
+  static bool fix(ReplicatedState& s, FrozenUsageReport const& f);
+  static bool tick_off(ReplicatedState& s, u64 window);
 
   // What to send now, if a call may be sent at all.
-  std::optional<Send> to_send(State const& s, Secs now);
-  void sent(Secs now);
+  std::optional<Send> to_send(ReplicatedState const& s, Seconds now);
+  void sent(Seconds now);
   // code 0: no answer in time. retry_after < 0: not said.
-  void answered(u64 window, int code, Secs retry_after, Secs now);
+  void answered(u64 window, int code, Seconds retry_after, Seconds now);
   void forget();  // the duty was lost: whatever hangs is for the next holder
   bool calling() const { return calling_; }
   std::optional<u64> acked() const { return acked_; }
-  Secs call_s() const { return p_.call; }
+  Seconds call_s() const { return p_.call; }
 
  private:
-  ReportPlan p_;
+  UsageReportOptions p_;
   bool calling_ = false;
-  Secs next_ = 0, asked_ = -1e9;
+  Seconds next_ = 0, asked_ = -1e9;
   u32 fails_ = 0, refused_ = 0;
   std::optional<u64> acked_;  // answered 200, not yet ticked off in the register
 };
--- a/packages/leases/lease_client.cpp
+++ b/packages/leases/lease_client.cpp
@@ -4,7 +4,7 @@
 
 namespace dockbend {
 
-Duty::Duty(std::string duty, std::string node, std::string ip, DutyPlan p, Secs now)
+LeaseClient::LeaseClient(std::string duty, std::string node, std::string ip, LeaseOptions p, Seconds now)
     : duty_(std::move(duty)),
       node_(std::move(node)),
       ip_(std::move(ip)),
@@ -16,7 +16,7 @@
   p_.renew = std::min(p_.renew, p_.lease / 3);
 }
 
-void Duty::seen(Term const* t, Secs now) {
+void LeaseClient::seen(Lease const* t, Seconds now) {
   if (t == nullptr) return;
   if (t->fence < term_.fence || (t->fence == term_.fence && t->counter < term_.counter)) return;  // old news
   if (t->fence != term_.fence || t->counter != term_.counter || t->next != term_.next) {
@@ -35,98 +35,98 @@
   }
 }
 
-Duty::Move Duty::step(Secs now, bool fit) {
-  if (asking_) return Move::none;
+LeaseClient::Action LeaseClient::step(Seconds now, bool fit) {
+  if (asking_) return Action::none;
   if (held_) {
-    if (handing_) return handed_ || now - asked_ < 0.2 ? Move::none : Move::hand;
+    if (handing_) return handed_ || now - asked_ < 0.2 ? Action::none : Action::hand;
     // Without a renewal for a whole term others may take over; it stays the holder
     // of record until they do.
-    return now - renewed_ >= p_.renew && now - asked_ >= 0.2 ? Move::renew : Move::none;
+    return now - renewed_ >= p_.renew && now - asked_ >= 0.2 ? Action::renew : Action::none;
   }
-  if (!fit || now - asked_ < 0.3) return Move::none;
-  if (term_.fence == 0) return now - term_at_ >= wait_ ? Move::take : Move::none;
+  if (!fit || now - asked_ < 0.3) return Action::none;
+  if (term_.fence == 0) return now - term_at_ >= wait_ ? Action::take : Action::none;
   // Ours by record, but not by anything this life knows: it goes on under its fence.
-  if (term_.holder == node_ && term_.next.empty()) return Move::renew;
-  if (term_.next == node_ && free(now)) return Move::take;
-  if (free(now) && now - term_at_ >= still() + wait_) return Move::take;
-  return Move::none;
+  if (term_.holder == node_ && term_.next.empty()) return Action::renew;
+  if (term_.next == node_ && free(now)) return Action::take;
+  if (free(now) && now - term_at_ >= still() + wait_) return Action::take;
+  return Action::none;
 }
 
-Duty::Ask Duty::ask(Move m, Secs now) {
+LeaseClient::Proposal LeaseClient::ask(Action m, Seconds now) {
   asking_ = true;
   asked_ = now;
-  Ask a;
+  Proposal a;
   a.move = m;
   a.fence = term_.fence;
   a.counter = term_.counter;
   a.at = now;
   a.next = next_;
-  first_ = m == Move::take && term_.fence == 0;
+  first_ = m == Action::take && term_.fence == 0;
   return a;
 }
 
-bool Duty::apply(State& s, Ask const& a) const {
-  Term* t = nullptr;
-  for (Term& x : s.duties)
+bool LeaseClient::apply(ReplicatedState& s, Proposal const& a) const {
+  Lease* t = nullptr;
+  for (Lease& x : s.duties)
     if (x.duty == duty_) t = &x;
   if (t == nullptr) {
-    if (a.move != Move::take || a.fence != 0) return false;
+    if (a.move != Action::take || a.fence != 0) return false;
     s.duties.emplace_back();
     t = &s.duties.back();
     t->duty = duty_;
   }
   if (t->fence != a.fence || t->counter != a.counter) return false;
   switch (a.move) {
-    case Move::take:
+    case Action::take:
       t->holder = node_;
       t->ip = ip_;
       t->next.clear();
       ++t->fence;
       t->counter = 0;
       return true;
-    case Move::renew:
-    case Move::hand:
+    case Action::renew:
+    case Action::hand:
       if (t->holder != node_ || !t->next.empty()) return false;
       ++t->counter;
-      if (a.move == Move::hand) t->next = a.next;
+      if (a.move == Action::hand) t->next = a.next;
       return true;
-    case Move::none: break;
+    case Action::none: break;
   }
   return false;
 }
 
-void Duty::answered(Ask const& a, bool stood, Secs now) {
+void LeaseClient::answered(Proposal const& a, bool stood, Seconds now) {
   asking_ = false;
   if (!stood) return;
   switch (a.move) {
-    case Move::take:
-    case Move::renew:
+    case Action::take:
+    case Action::renew:
       if (!held_) {
         held_ = true;
         handing_ = handed_ = false;
         held_since_ = now;
-        fence_ = a.move == Move::take ? a.fence + 1 : a.fence;
+        fence_ = a.move == Action::take ? a.fence + 1 : a.fence;
       }
       renewed_ = a.at;
       until_ = a.at + p_.lease - p_.margin;
       break;
-    case Move::hand:
+    case Action::hand:
       handed_ = true;
       held_ = handing_ = false;
       left_ = now;
       break;
-    case Move::none: break;
+    case Action::none: break;
   }
 }
 
-bool Duty::hand_over(std::string const& next) {
+bool LeaseClient::hand_over(std::string const& next) {
   if (!held_ || handing_) return false;
   handing_ = true;
   next_ = next;
   return true;
 }
 
-bool Duty::may_act(Secs now, Secs need) const {
+bool LeaseClient::may_act(Seconds now, Seconds need) const {
   if (!held_ || handing_ || now + need > until_) return false;
   // A former life, or a former term of this one, may have acted a moment ago.
   bool const fresh = fence_ == 1 && first_;
--- a/packages/leases/platform_client.cpp
+++ b/packages/leases/platform_client.cpp
@@ -11,19 +11,19 @@
 
 namespace dockbend {
 
-void Envoy::post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
-                 std::string const& body, Secs within, Done done) {
+void PlatformClient::post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
+                          std::string const& body, Seconds within, Done done) {
   reset();
   done_ = std::move(done);
-  bufferevent* bev = bufferevent_socket_new(eb_, -1, BEV_OPT_DEFER_CALLBACKS);
-  ec_ = evhttp_connection_base_bufferevent_new(eb_, nullptr, bev, to_.ip.c_str(), static_cast<ev_uint16_t>(to_.port));
+  bufferevent* bev = bufferevent_socket_new(loop_, -1, BEV_OPT_DEFER_CALLBACKS);
+  ec_ = evhttp_connection_base_bufferevent_new(loop_, nullptr, bev, to_.ip.c_str(), static_cast<ev_uint16_t>(to_.port));
   tag_ = new Tag{this};
   evhttp_request* r = evhttp_request_new(
       [](evhttp_request* q, void* p) {
-        Envoy* const e = static_cast<Tag*>(p)->e;
+        PlatformClient* const e = static_cast<Tag*>(p)->e;
         if (e == nullptr) return;
         int const code = q == nullptr ? 0 : evhttp_request_get_response_code(q);
-        Secs wait = -1;
+        Seconds wait = -1;
         if (code != 0)
           if (char const* ra = evhttp_find_header(evhttp_request_get_input_headers(q), "Retry-After"); ra != nullptr)
             wait = std::strtod(ra, nullptr);
@@ -38,12 +38,12 @@
     evhttp_add_header(out, k.c_str(), v.c_str());
   evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
   timer_ = evtimer_new(
-      eb_, [](evutil_socket_t, short, void* p) { static_cast<Envoy*>(p)->over(0, -1); }, this);
+      loop_, [](evutil_socket_t, short, void* p) { static_cast<PlatformClient*>(p)->over(0, -1); }, this);
   timeval const tv{static_cast<time_t>(within),
                    static_cast<suseconds_t>((within - static_cast<double>(static_cast<time_t>(within))) * 1e6)};
   evtimer_add(timer_, &tv);
   if (evhttp_make_request(ec_, r, EVHTTP_REQ_POST, path.c_str()) != 0) {
-    after(eb_, 0, [this, ec = ec_] {
+    after(loop_, 0, [this, ec = ec_] {
       if (ec_ == ec) over(0, -1);
     });
     return;
@@ -51,7 +51,7 @@
   tune_socket(bufferevent_getfd(bev), static_cast<int>(within * 1000));
 }
 
-void Envoy::over(int code, Secs retry_after) {
+void PlatformClient::over(int code, Seconds retry_after) {
   Done d;
   d.swap(done_);
   // libevent may still be inside this connection's callback.
@@ -69,7 +69,7 @@
       linger const hard{1, 0};
       setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     }
-    after(eb_, 0, [ec, tag] {
+    after(loop_, 0, [ec, tag] {
       evhttp_connection_free(ec);
       delete tag;
     });
@@ -77,7 +77,7 @@
   if (d) d(code, retry_after);
 }
 
-void Envoy::reset() {
+void PlatformClient::reset() {
   done_ = nullptr;
   if (ec_ != nullptr) over(0, -1);
 }
--- a/packages/linearizability/include/linearizability/linearizability.hpp
+++ b/packages/linearizability/include/linearizability/linearizability.hpp
@@ -11,17 +11,17 @@
 #include <utility>
 #include <vector>
 
-namespace dockbend::provenance {
+namespace dockbend::linearizability {
 
 using Moment = std::uint64_t;
-inline constexpr Moment never = std::numeric_limits<Moment>::max();
+inline constexpr Moment kNever = std::numeric_limits<Moment>::max();
 
 // A call whose outcome its caller does not know may have its effect at any moment from
 // `from` up to `to`, or not at all; one that is known had it between the two.
 template <class Op>
-struct Recorded {
+struct RecordedOperation {
   Op op;
-  Moment from = 0, to = never;
+  Moment from = 0, to = kNever;
   bool known = false;
 };
 
@@ -36,10 +36,10 @@
   { M::lost(c, op) } -> std::same_as<bool>;
 };
 
-enum class Finding { linearizable, broken, gave_up };
+enum class CheckVerdict { linearizable, broken, gave_up };
 
-struct Report {
-  Finding finding = Finding::linearizable;
+struct CheckReport {
+  CheckVerdict finding = CheckVerdict::linearizable;
   std::size_t placed = 0;          // the most calls that any order tried explains
   std::vector<std::size_t> stuck;  // with those placed: the calls of which none could come next
   std::size_t steps = 0;
@@ -48,7 +48,7 @@
 namespace detail {
 template <Model M>
 struct Search {
-  std::vector<Recorded<typename M::Op>> const& h;
+  std::vector<RecordedOperation<typename M::Op>> const& h;
   std::size_t most, known = 0;
   std::vector<std::size_t> order;  // by start
   std::vector<bool> placed;
@@ -56,7 +56,7 @@
   // placed the same and more has fewer left to go on with, and fails too.
   using Used = std::vector<bool>;
   std::unordered_map<std::string, std::vector<Used>> failed;
-  Report rep;
+  CheckReport rep;
   // For a call that nobody knows of: the one before it that asks the same and has the same time.
   // Of such the earliest is placed first; any other order of them explains no more.
   std::vector<std::size_t> twin;
@@ -101,12 +101,12 @@
     }
     std::string const own = before.x == none ? k : k + '\0' + std::to_string(before.x) + ' ' + M::key(before.before);
     if (fails(k, used) || (before.x != none && fails(own, used))) return false;
-    Moment end = never;
+    Moment end = kNever;
     for (std::size_t i = low; i < order.size(); ++i) {
       if (h[order[i]].from > end) break;
       if (!placed[order[i]] && h[order[i]].known) end = std::min(end, h[order[i]].to);
     }
-    std::vector<std::size_t> may, tried;
+    std::vector<std::size_t> may, attempted;
     std::size_t ahead = 0;
     for (std::size_t i = low; i < order.size() && ahead < look; ++i) {
       if (placed[order[i]] || !h[order[i]].known) continue;
@@ -121,7 +121,7 @@
         // One that is not known has missed its time once a call that began later is placed.
         if (placed[x] || h[x].known != known_now || h[x].to < latest) continue;
         if (!known_now && twin[x] != none && !placed[twin[x]]) continue;
-        if (known_now) tried.push_back(x);
+        if (known_now) attempted.push_back(x);
         typename M::State next = st;
         if (!M::next(next, h[x].op, known_now)) continue;
         // What nobody saw and what changes nothing need not have been.
@@ -136,7 +136,7 @@
       }
     if (n_known >= rep.placed) {
       rep.placed = n_known;
-      rep.stuck = tried;
+      rep.stuck = attempted;
     }
     failed[own].push_back(std::move(used));
     return false;
@@ -155,7 +155,8 @@
 // At most `most` states are looked at; a day of a few hundred calls by eight callers takes
 // a few thousand.
 template <Model M>
-Report check(std::vector<Recorded<typename M::Op>> const& h, typename M::State first, std::size_t most = 2'000'000) {
+CheckReport check(std::vector<RecordedOperation<typename M::Op>> const& h, typename M::State first,
+                  std::size_t most = 2'000'000) {
   detail::Search<M> s{h, most, 0, {}, std::vector<bool>(h.size()), {}, {}, {}};
   for (std::size_t i = 0; i < h.size(); ++i) {
     s.order.push_back(i);
@@ -177,9 +178,9 @@
     s.rep.placed = s.known;
     s.rep.stuck.clear();
   } else {
-    s.rep.finding = s.rep.steps > most ? Finding::gave_up : Finding::broken;
+    s.rep.finding = s.rep.steps > most ? CheckVerdict::gave_up : CheckVerdict::broken;
   }
   return s.rep;
 }
 
-}  // namespace dockbend::provenance
+}  // namespace dockbend::linearizability
--- a/packages/load_balancing/include/load_balancing/retry_budget.hpp
+++ b/packages/load_balancing/include/load_balancing/retry_budget.hpp
@@ -12,57 +12,57 @@
 // are at most part * slack + ratio * (errands seen here in that window).
 class RetryBudget {
  public:
-  RetryBudget(Secs window, double ratio, double slack) : window_(window), ratio_(ratio), slack_(slack) {}
-  void errand(Secs now) { bump(now).errands += 1; }
-  bool take(Secs now, double part) {
+  RetryBudget(Seconds window, double ratio, double slack) : window_(window), ratio_(ratio), slack_(slack) {}
+  void errand(Seconds now) { bump(now).errands += 1; }
+  bool take(Seconds now, double part) {
     Slot& s = bump(now);
     double e = 0, t = 0;
     for (Slot const& x : q_) {
       // Tries are counted over a longer span than errands: the bound slides.
-      t += x.tries;
+      t += x.attempts;
       if (now - x.at < window_ - grain()) e += x.errands;
     }
     if (t + 1 > part * slack_ + ratio_ * e) return false;
-    s.tries += 1;
+    s.attempts += 1;
     return true;
   }
 
  private:
   struct Slot {
-    Secs at = 0;
-    double errands = 0, tries = 0;
+    Seconds at = 0;
+    double errands = 0, attempts = 0;
   };
-  Secs grain() const { return window_ / 10; }
-  Slot& bump(Secs now) {
+  Seconds grain() const { return window_ / 10; }
+  Slot& bump(Seconds now) {
     while (!q_.empty() && now - q_.front().at > window_ + grain())
       q_.pop_front();
     if (q_.empty() || now - q_.back().at >= grain()) q_.push_back(Slot{now, 0, 0});
     return q_.back();
   }
-  Secs window_;
+  Seconds window_;
   double ratio_, slack_;
   std::deque<Slot> q_;
 };
 
 // Errands at one cold server from this proxy. Invariant: at most burst + rate * t
 // in any span t.
-class ColdBucket {
+class SlowStartLimiter {
  public:
-  bool take(Secs now, double rate, double burst) {
+  bool take(Seconds now, double rate, double burst) {
     level_ = std::min(burst, level_ + (now - at_) * rate);
     at_ = now;
     if (level_ < 1) return false;
     level_ -= 1;
     return true;
   }
-  bool has(Secs now, double rate, double burst) const { return std::min(burst, level_ + (now - at_) * rate) >= 1; }
-  void start(Secs now) {
+  bool has(Seconds now, double rate, double burst) const { return std::min(burst, level_ + (now - at_) * rate) >= 1; }
+  void start(Seconds now) {
     at_ = now;
     level_ = 0;
   }
 
  private:
-  Secs at_ = 0;
+  Seconds at_ = 0;
   double level_ = 0;
 };
 
--- a/packages/load_balancing/load_balancer.cpp
+++ b/packages/load_balancing/load_balancer.cpp
@@ -10,14 +10,14 @@
 double const start_lat = 0.05;
 }  // namespace
 
-Assign::Assign(Settings const& st) : st_(st) {
+LoadBalancer::LoadBalancer(Settings const& st) : st_(st) {
   my_zone_ = zone(st.zone);
   my_region_ = region(st.region);
   for (auto const& [z, r] : st.zones)
     zone_region_[zone(z).v] = region(r).v;
 }
 
-PoolIx Assign::pool(std::string const& name) {
+ServiceIndex LoadBalancer::pool(std::string const& name) {
   u32 const i = index_of(pools_, name);
   while (members_.size() <= i) {
     members_.emplace_back();
@@ -28,22 +28,22 @@
     // A tenth is kept back: views and clocks of the proxies differ a little.
     budgets_.emplace_back(st_.bounds.retryWindowS, st_.bounds.retryRatio * 0.8, st_.bounds.retrySlack * 0.7);
   }
-  return PoolIx(i);
+  return ServiceIndex(i);
 }
-PlaceIx Assign::zone(std::string const& name) {
+LocationIndex LoadBalancer::zone(std::string const& name) {
   u32 const i = index_of(zones_, name);
   if (zone_names_.size() <= i) zone_names_.resize(i + 1, name);
-  return PlaceIx(i);
+  return LocationIndex(i);
 }
-PlaceIx Assign::region(std::string const& name) {
-  return PlaceIx(index_of(regions_, name));
+LocationIndex LoadBalancer::region(std::string const& name) {
+  return LocationIndex(index_of(regions_, name));
 }
-void Assign::rule(PoolIx p, PoolRule r) {
+void LoadBalancer::rule(ServiceIndex p, ServiceLimits r) {
   rules_[p.v] = r;
 }
 
-bool Assign::put(Seen const& r, Secs now) {
-  PoolIx const p = pool(r.service);
+bool LoadBalancer::put(Seen const& r, Seconds now) {
+  ServiceIndex const p = pool(r.service);
   auto const it = by_id_.find(r.id);
   u32 i = 0;
   if (it == by_id_.end()) {
@@ -56,7 +56,7 @@
       t_.emplace_back();
     }
     u64 const uses = t_[i].uses;
-    t_[i] = Target{};
+    t_[i] = Endpoint{};
     t_[i].uses = uses + 1;
     t_[i].id = r.id;
     t_[i].pool = p;
@@ -69,17 +69,17 @@
   } else {
     i = it->second;
   }
-  Target& t = t_[i];
+  Endpoint& t = t_[i];
   t.address = r.address;
   t.capacity = std::max(1.0, r.capacity);
   t.ready = r.ready;
-  if (r.cold_left > 0) cold(ServerIx(i), r.cold_left, now);
+  if (r.cold_left > 0) cold(ServerIndex(i), r.cold_left, now);
   return true;
 }
 
-void Assign::settle() {
+void LoadBalancer::settle() {
   for (auto it = by_id_.begin(); it != by_id_.end();) {
-    Target& t = t_[it->second];
+    Endpoint& t = t_[it->second];
     if (!t.ready && t.out == 0 && t.chans == 0) {
       auto& m = members_[t.pool.v];
       m.erase(std::remove(m.begin(), m.end(), it->second), m.end());
@@ -91,7 +91,7 @@
   }
 }
 
-void Assign::table(std::vector<Seen> const& rows, Secs now) {
+void LoadBalancer::table(std::vector<Seen> const& rows, Seconds now) {
   std::set<std::string_view> seen;
   for (Seen const& r : rows) {
     put(r, now);
@@ -102,20 +102,20 @@
   settle();
 }
 
-void Assign::change(std::vector<Seen> const& rows, Secs now) {
+void LoadBalancer::change(std::vector<Seen> const& rows, Seconds now) {
   for (Seen const& r : rows)
     put(r, now);
   settle();
 }
 
-std::vector<ServerIx> Assign::gone_idle() const {
-  std::vector<ServerIx> out;
+std::vector<ServerIndex> LoadBalancer::gone_idle() const {
+  std::vector<ServerIndex> out;
   for (auto const& [id, i] : by_id_)
-    if (!t_[i].ready) out.push_back(ServerIx(i));
+    if (!t_[i].ready) out.push_back(ServerIndex(i));
   return out;
 }
 
-void Assign::evacuated(std::set<std::string> const& zones, Secs now) {
+void LoadBalancer::evacuated(std::set<std::string> const& zones, Seconds now) {
   std::set<u32> next;
   for (auto const& z : zones)
     next.insert(zone(z).v);
@@ -127,13 +127,13 @@
   for (u32 i = 0; i < t_.size(); ++i) {
     auto const it = thaw_.find(t_[i].zone.v);
     if (it != thaw_.end() && t_[i].ready && it->second > now && evac_.count(t_[i].zone.v) == 0)
-      cold(ServerIx(i), it->second - now, now);
+      cold(ServerIndex(i), it->second - now, now);
   }
   for (auto it = thaw_.begin(); it != thaw_.end();)
     it = it->second <= now ? thaw_.erase(it) : std::next(it);
 }
 
-void Assign::sites(std::map<std::string, u32> const& by_zone) {
+void LoadBalancer::sites(std::map<std::string, u32> const& by_zone) {
   zone_sites_.clear();
   region_sites_.clear();
   all_sites_ = 0;
@@ -145,27 +145,27 @@
   }
 }
 
-double Assign::part() const {
+double LoadBalancer::part() const {
   return 1.0 / std::max(all_sites_ * 1.25, 4.0);
 }
 
-Near Assign::near(Target const& t) const {
-  if (t.zone == my_zone_) return Near::zone;
-  return t.region == my_region_ ? Near::region : Near::far;
+Proximity LoadBalancer::near(Endpoint const& t) const {
+  if (t.zone == my_zone_) return Proximity::zone;
+  return t.region == my_region_ ? Proximity::region : Proximity::far;
 }
 
-double Assign::sharers(Target const& t, Near n) const {
+double LoadBalancer::sharers(Endpoint const& t, Proximity n) const {
   auto get = [](std::map<u32, double> const& m, u32 k) {
     auto const it = m.find(k);
     return it == m.end() ? 0.0 : it->second;
   };
-  if (n == Near::zone) return std::max(1.0, get(zone_sites_, t.zone.v));
-  if (n == Near::region) return std::max(1.0, get(region_sites_, t.region.v));
+  if (n == Proximity::zone) return std::max(1.0, get(zone_sites_, t.zone.v));
+  if (n == Proximity::region) return std::max(1.0, get(region_sites_, t.region.v));
   return std::max(1.0, all_sites_);
 }
 
-u32 Assign::chan_share(ServerIx s) const {
-  Target const& t = t_[s.v];
+u32 LoadBalancer::chan_share(ServerIndex s) const {
+  Endpoint const& t = t_[s.v];
   double const n = std::max(all_sites_ * 1.1, 4.0);
   return std::max<u32>(1, static_cast<u32>(rules_[t.pool.v].conn_limit * 0.9 / n));
 }
@@ -180,48 +180,50 @@
 double const most_warmers = 3;
 }  // namespace
 
-double Assign::warmers(Target const& t, Near n) const {
+double LoadBalancer::warmers(Endpoint const& t, Proximity n) const {
   double const ns = sharers(t, n);
   if (ns <= most_warmers) return ns;
   return t.warming < most_warmers / ns ? most_warmers : 0;
 }
 
 namespace {
-bool at_home(Wish const& w, Target const& t) {
+bool at_home(EndpointQuery const& w, Endpoint const& t) {
   return w.homes == nullptr || w.homes->empty() ||
          std::find(w.homes->begin(), w.homes->end(), t.region) != w.homes->end();
 }
 }  // namespace
 
-Assign::Choice Assign::choose(Wish const& w, Secs now) {
+LoadBalancer::Choice LoadBalancer::choose(EndpointQuery const& w, Seconds now) {
   Choice out;
   double best = 0;
-  PoolRule const& rule = rules_[w.pool.v];
+  ServiceLimits const& rule = rules_[w.pool.v];
   double const pool_lat = std::max(pool_lat_[w.pool.v], 0.002);
   bool any = false, any_region = false;
   for (u32 const i : members_[w.pool.v]) {
-    Target const& t = t_[i];
-    if (t.ready && !t.misdirected && near(t) != Near::far && evac_.count(t.zone.v) == 0 && t.shun_until <= now &&
+    Endpoint const& t = t_[i];
+    if (t.ready && !t.misdirected && near(t) != Proximity::far && evac_.count(t.zone.v) == 0 && t.shun_until <= now &&
         at_home(w, t))
       any_region = true;
   }
   for (u32 const i : members_[w.pool.v]) {
-    Target& t = t_[i];
+    Endpoint& t = t_[i];
     if (!t.ready || t.misdirected || evac_.count(t.zone.v) > 0) continue;
     if (!at_home(w, t)) continue;
-    if (w.tried != nullptr && std::find(w.tried->begin(), w.tried->end(), ServerIx(i)) != w.tried->end()) continue;
+    if (w.attempted != nullptr &&
+        std::find(w.attempted->begin(), w.attempted->end(), ServerIndex(i)) != w.attempted->end())
+      continue;
     if (t.shun_until > now) continue;
     any = true;
-    Near const n = near(t);
-    if (n == Near::far && w.bulky && any_region) continue;
+    Proximity const n = near(t);
+    if (n == Proximity::far && w.bulky && any_region) continue;
     double const ns = sharers(t, n);
-    double const reach = n == Near::zone ? 2.0 : n == Near::region ? 1.0 : 0.6;
-    double const hard = std::max(n == Near::zone ? 2.0 : 1.0, std::ceil(t.capacity * reach / ns));
-    if (t.out >= hard || t.out >= chan_share(ServerIx(i))) continue;
+    double const reach = n == Proximity::zone ? 2.0 : n == Proximity::region ? 1.0 : 0.6;
+    double const hard = std::max(n == Proximity::zone ? 2.0 : 1.0, std::ceil(t.capacity * reach / ns));
+    if (t.out >= hard || t.out >= chan_share(ServerIndex(i))) continue;
     if (t.cold_until > now) {
       auto const zs = zone_sites_.find(t.zone.v);
       bool const zone_has = zs != zone_sites_.end() && zs->second > 0;
-      if (n == Near::far || (n == Near::region && zone_has)) continue;
+      if (n == Proximity::far || (n == Proximity::region && zone_has)) continue;
       double const wn = warmers(t, n);
       if (rule.cold_rate > 0 && (wn == 0 || !t.cold.has(now, rule.cold_rate * cold_part / wn, 1.0))) continue;
     }
@@ -237,12 +239,12 @@
     // Among equals each proxy keeps to its own few servers, and to those it has a
     // channel to: channels then grow with the traffic, not with proxies x servers.
     est *= 1.0 + liking_weight * t.liking + (t.idle == 0 ? fresh_weight : 0.0);
-    if (n == Near::region) est = est * 1.25 + 0.05 * w.setpoint;
-    if (n == Near::far) est = est * 1.25 + 0.4 * w.setpoint;
+    if (n == Proximity::region) est = est * 1.25 + 0.05 * w.latency_target;
+    if (n == Proximity::far) est = est * 1.25 + 0.4 * w.latency_target;
     est *= 0.97 + 0.06 * random01();
     if (!out.ix || est < best) {
       best = est;
-      out.ix = ServerIx(i);
+      out.ix = ServerIndex(i);
       out.est = est;
     }
   }
@@ -250,8 +252,8 @@
   return out;
 }
 
-void Assign::took(ServerIx s, Secs now) {
-  Target& t = t_[s.v];
+void LoadBalancer::took(ServerIndex s, Seconds now) {
+  Endpoint& t = t_[s.v];
   ++t.out;
   if (t.cold_until > now) {
     double const wn = warmers(t, near(t));
@@ -260,8 +262,8 @@
   }
 }
 
-void Assign::gave(ServerIx s, Secs lat, bool good, Secs now) {
-  Target& t = t_[s.v];
+void LoadBalancer::gave(ServerIndex s, Seconds lat, bool good, Seconds now) {
+  Endpoint& t = t_[s.v];
   if (t.out > 0) --t.out;
   if (!good) return;
   t.fails = 0;
@@ -273,31 +275,31 @@
   p = p * 0.99 + lat * 0.01;
 }
 
-void Assign::dropped(ServerIx s) {
-  Target& t = t_[s.v];
+void LoadBalancer::dropped(ServerIndex s) {
+  Endpoint& t = t_[s.v];
   if (t.out > 0) --t.out;
 }
 
-void Assign::shun(ServerIx s, Secs base, Secs now) {
-  Target& t = t_[s.v];
+void LoadBalancer::shun(ServerIndex s, Seconds base, Seconds now) {
+  Endpoint& t = t_[s.v];
   mark(t, 1, now);
   if (t.shun_until > now) return;
   t.fails = std::min<u32>(t.fails + 1, 5);
   t.shun_until = now + base * std::pow(2.0, t.fails - 1) * (0.8 + 0.4 * random01());
 }
 
-void Assign::mark(Target& t, double x, Secs now) {
+void LoadBalancer::mark(Endpoint& t, double x, Seconds now) {
   double const old = t.bad * std::exp(-(now - t.bad_at) / 8.0);
   t.bad = old + 0.2 * (x - old);
   t.bad_at = now;
 }
-void Assign::failed(ServerIx s, Secs now) {
+void LoadBalancer::failed(ServerIndex s, Seconds now) {
   mark(t_[s.v], 1, now);
 }
 
-void Assign::idle_lost(ServerIx s, Secs idle, Secs now) {
-  Target& t = t_[s.v];
-  Secs const was = idle_safe(s, true, now);
+void LoadBalancer::idle_lost(ServerIndex s, Seconds idle, Seconds now) {
+  Endpoint& t = t_[s.v];
+  Seconds const was = idle_safe(s, true, now);
   t.idle_safe = std::max(0.02, std::min(was, 0.7 * idle));
   t.idle_seen = now;
   IdleRisk& r = idle_risk_[t.pool.v];
@@ -305,29 +307,29 @@
   r.seen = now;
 }
 // What was learned is forgotten after a while, or it would never be tried again.
-Secs Assign::idle_safe(ServerIx s, bool repeatable, Secs now) const {
-  Target const& t = t_[s.v];
-  Secs const own = now - t.idle_seen < 15 ? t.idle_safe : 60.0;
+Seconds LoadBalancer::idle_safe(ServerIndex s, bool repeatable, Seconds now) const {
+  Endpoint const& t = t_[s.v];
+  Seconds const own = now - t.idle_seen < 15 ? t.idle_safe : 60.0;
   if (repeatable) return own;
   IdleRisk const& r = idle_risk_[t.pool.v];
   return std::min(own, now - r.seen < 15 ? r.safe : 60.0);
 }
 
-void Assign::full(ServerIx s, Secs now) {
+void LoadBalancer::full(ServerIndex s, Seconds now) {
   mark(t_[s.v], 1, now);
   t_[s.v].shun_until = std::max(t_[s.v].shun_until, now + 0.05 + 0.1 * random01());
 }
-void Assign::misdirected(ServerIx s) {
+void LoadBalancer::misdirected(ServerIndex s) {
   t_[s.v].misdirected = true;
 }
 
-void Assign::cold(ServerIx s, Secs left, Secs now) {
-  Target& t = t_[s.v];
+void LoadBalancer::cold(ServerIndex s, Seconds left, Seconds now) {
+  Endpoint& t = t_[s.v];
   if (t.cold_until <= now) t.cold.start(now);
   t.cold_until = std::max(t.cold_until, now + left);
 }
 
-std::size_t Assign::live() const {
+std::size_t LoadBalancer::live() const {
   std::size_t n = 0;
   for (auto const& [id, i] : by_id_)
     n += t_[i].ready ? 1 : 0;
--- a/packages/load_generation/include/load_generation/load_report.hpp
+++ b/packages/load_generation/include/load_generation/load_report.hpp
@@ -28,12 +28,12 @@
 class Arrivals {
  public:
   Arrivals(double rate, u64 seed) : rate_(rate), s_(seed) {}
-  Secs next();
+  Seconds next();
 
  private:
   double rate_;
   u64 s_;
-  Secs at_ = 0;
+  Seconds at_ = 0;
 };
 
 // Times in buckets that grow by about 2%, so that memory stays small. Each time is
@@ -42,15 +42,15 @@
 // omission).
 class Times {
  public:
-  void add(Secs due, Secs done);
-  Secs quantile(double q) const;  // 0 if there are none
+  void add(Seconds due, Seconds done);
+  Seconds quantile(double q) const;  // 0 if there are none
   u64 count() const { return n_; }
-  Secs most() const { return most_; }
+  Seconds most() const { return most_; }
 
  private:
   std::vector<u64> b_;
   u64 n_ = 0;
-  Secs most_ = 0;
+  Seconds most_ = 0;
 };
 
 // What a partner got against its budget. Invariant: worst() is the most, over every
@@ -59,19 +59,19 @@
 class Granted {
  public:
   explicit Granted(double rate) : rate_(rate) {}
-  void add(Secs at);
+  void add(Seconds at);
   double worst() const { return worst_; }
 
  private:
   double rate_, level_ = 0, worst_ = 0;
-  Secs at_ = -1;
+  Seconds at_ = -1;
 };
 
 struct Tally {
   Times times;               // of the successes
   u64 due = 0, late = 0;     // late: sent over 10 ms after it was due
   std::map<int, u64> codes;  // 0: no answer
-  void add(Secs due_at, Secs sent_at, Secs done_at, int code);
+  void add(Seconds due_at, Seconds sent_at, Seconds done_at, int code);
 };
 
 }  // namespace dockbend
--- a/packages/load_generation/load_report.cpp
+++ b/packages/load_generation/load_report.cpp
@@ -46,14 +46,14 @@
   return k;
 }
 
-Secs Arrivals::next() {
+Seconds Arrivals::next() {
   double const u = (static_cast<double>(next64(s_) >> 11) + 0.5) * 0x1.0p-53;
   at_ += -std::log(u) / rate_;
   return at_;
 }
 
-void Times::add(Secs due, Secs done) {
-  Secs const t = std::max(0.0, done - due);
+void Times::add(Seconds due, Seconds done) {
+  Seconds const t = std::max(0.0, done - due);
   auto const i = static_cast<std::size_t>(t <= least ? 0 : std::log(t / least) / std::log(grow));
   if (b_.size() <= i) b_.resize(i + 1);
   ++b_[i];
@@ -61,7 +61,7 @@
   most_ = std::max(most_, t);
 }
 
-Secs Times::quantile(double q) const {
+Seconds Times::quantile(double q) const {
   if (n_ == 0) return 0;
   auto const want = static_cast<u64>(std::ceil(q * static_cast<double>(n_)));
   u64 seen = 0;
@@ -72,14 +72,14 @@
   return most_;
 }
 
-void Tally::add(Secs due_at, Secs sent_at, Secs done_at, int code) {
+void Tally::add(Seconds due_at, Seconds sent_at, Seconds done_at, int code) {
   ++due;
   if (sent_at - due_at > 0.01) ++late;
   ++codes[code];
   if (code >= 200 && code < 300) times.add(due_at, done_at);
 }
 
-void Granted::add(Secs at) {
+void Granted::add(Seconds at) {
   if (at_ >= 0 && at > at_) level_ = std::max(0.0, level_ - (at - at_) * rate_);
   at_ = std::max(at_, at);
   level_ += 1;
--- a/packages/logging/include/logging/log.hpp
+++ b/packages/logging/include/logging/log.hpp
@@ -8,4 +8,4 @@
 void start_log();
 }  // namespace dockbend
 
-#define DB_LOG(part) static log4cplus::Logger const lg = log4cplus::Logger::getInstance(LOG4CPLUS_TEXT(part))
+#define DB_LOG(part) static log4cplus::Logger const logger = log4cplus::Logger::getInstance(LOG4CPLUS_TEXT(part))
