--- a/packages/model_checking/include/model_checking/consensus_model.hpp
+++ b/packages/model_checking/include/model_checking/consensus_model.hpp
@@ -13,7 +13,7 @@
 #include "model_checking/explore.hpp"
 #include "model_checking/faults.hpp"
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 
 inline std::string address(u32 i) {
   return "10.0.0." + std::to_string(i + 1);
@@ -39,7 +39,7 @@
 // - a delta gives the value that it was made from (learn_from);
 // - once the faults end, all members hold the newest value won (settle).
 template <class F>
-class Registers {
+class ConsensusModel {
  public:
   enum class Do : u8 { propose, deliver, learn, tell, restart, wipe, cut, heal, drop, sync };
   static constexpr std::array<char const*, 10> words{"propose", "deliver", "learn", "tell", "restart",
@@ -49,18 +49,18 @@
   // deliver: c how.
   enum class How : u8 { at_once, answer_waits, write_waits, twice };
 
-  explicit Registers(Plan const& p) : left_(p) {
-    State f;
+  explicit ConsensusModel(Bounds const& p) : left_(p) {
+    ReplicatedState f;
     for (u32 i = 0; i < p.nodes; ++i)
-      f.roster.push_back(member(i, Life(1)));
+      f.membership.push_back(member(i, Incarnation(1)));
     for (u32 i = 0; i < p.nodes + p.spares; ++i) {
       bool const founder = i < p.nodes;
-      Life const l = founder ? Life(1) : Life(10 + i);
-      nodes_.emplace_back(Acceptor(l, Ballot(), founder ? std::optional<State>(f) : std::nullopt),
+      Incarnation const l = founder ? Incarnation(1) : Incarnation(10 + i);
+      nodes_.emplace_back(Acceptor(l, Ballot(), founder ? std::optional<ReplicatedState>(f) : std::nullopt),
                           Proposer(address(i)));
       Node& n = nodes_.back();
       n.disk = Disk{l, Ballot(), n.acc.state()};
-      if (founder) n.committed = std::make_shared<State const>(f);
+      if (founder) n.committed = std::make_shared<ReplicatedState const>(f);
     }
     won_.push_back(nodes_[0].committed);
   }
@@ -87,15 +87,15 @@
     }
     for (u32 i = 0; i < all; ++i) {
       Node const& n = nodes_[i];
-      State const* b = best(n);
+      ReplicatedState const* b = best(n);
       if (b != nullptr && i < left_.proposers && left_.proposals > 0) {
-        if (!n.committed || b->bal > n.committed->bal) wish(i, Wish::finish);
+        if (!n.committed || b->ballot > n.committed->ballot) wish(i, Wish::finish);
         for (u32 g = 1; g <= left_.items; ++g)
           wish(i, Wish::item, g);
         u32 fresh = 0;
         for (u32 x = 0; x < all; ++x) {
           Member const* m = b->member(address(x));
-          bool const named = m != nullptr && m->life == nodes_[x].acc.life();
+          bool const named = m != nullptr && m->incarnation == nodes_[x].acc.incarnation();
           if (!named) {
             ++fresh;
             if (left_.joins > 0) wish(i, Wish::join, x);
@@ -103,7 +103,7 @@
               for (u32 y = 0; y < all; ++y)
                 if (y != x && b->member(address(y)) != nullptr && may_leave(*b, y)) wish(i, Wish::swap, x << 4 | y);
           }
-          if (m != nullptr && left_.leaves > 0 && b->roster.size() > 2 && may_leave(*b, x)) wish(i, Wish::leave, x);
+          if (m != nullptr && left_.leaves > 0 && b->membership.size() > 2 && may_leave(*b, x)) wish(i, Wish::leave, x);
         }
         if (fresh > 1 && left_.joins > 1) wish(i, Wish::join_all);
       }
@@ -119,10 +119,11 @@
           add(Do::cut, i, k);
         if (is_cut) continue;
         // i to k.
-        if (n.committed && (!nodes_[k].committed || n.committed->bal > nodes_[k].committed->bal)) add(Do::learn, i, k);
+        if (n.committed && (!nodes_[k].committed || n.committed->ballot > nodes_[k].committed->ballot))
+          add(Do::learn, i, k);
         if (left_.tells > 0 && n.disk.st && nodes_[k].acc.state() &&
-            (!nodes_[k].committed || nodes_[k].acc.state()->bal > nodes_[k].committed->bal) &&
-            nodes_[k].heard[i] != std::pair(n.disk.life, n.disk.st->bal))
+            (!nodes_[k].committed || nodes_[k].acc.state()->ballot > nodes_[k].committed->ballot) &&
+            nodes_[k].heard[i] != std::pair(n.disk.incarnation, n.disk.st->ballot))
           add(Do::tell, i, k);
       }
     }
@@ -145,7 +146,7 @@
       case Do::wipe:
         if (left_.wipes == 0 || !may_wipe(a.a)) return false;
         --left_.wipes;
-        nodes_[a.a].disk = Disk{Life(100 + next_life_++), Ballot(), std::nullopt};
+        nodes_[a.a].disk = Disk{Incarnation(100 + next_life_++), Ballot(), std::nullopt};
         start(a.a);
         return true;
       case Do::cut:
@@ -171,9 +172,9 @@
   void settle() {
     if (!breach_.empty()) return;
     cut_.clear();
-    left_ = Plan{};
+    left_ = Bounds{};
     left_.tells = ~0U;
-    Ballot const before = won_.back()->bal;
+    Ballot const before = won_.back()->ballot;
     u32 const all = static_cast<u32>(nodes_.size());
     auto spread = [&] {
       for (u32 i = 0; i < all; ++i)
@@ -197,32 +198,33 @@
       }
     if (!breach_.empty()) return;
     spread();
-    State const& last = *won_.back();
+    ReplicatedState const& last = *won_.back();
     // A step that was begun before a loss may leave a roster that can't bear it; it is
     // the operator's to see to it that this does not happen, and no one's to mend.
     if (!may_wipe(all)) return;
-    if (last.bal <= before) return fail("no round is won once the faults have ended");
-    for (Member const& m : last.roster) {
+    if (last.ballot <= before) return fail("no round is won once the faults have ended");
+    for (Member const& m : last.membership) {
       Node const& n = nodes_[node_at(m.ip)];
-      if (n.acc.life() != m.life) continue;
-      if (!n.committed || n.committed->bal != last.bal) fail("a member does not catch up once the faults have ended");
+      if (n.acc.incarnation() != m.incarnation) continue;
+      if (!n.committed || n.committed->ballot != last.ballot)
+        fail("a member does not catch up once the faults have ended");
     }
   }
 
   u64 digest() const {
     u64 h = 0;
     for (Node const& n : nodes_) {
-      h = mixed(h, n.acc.life().v);
+      h = mixed(h, n.acc.incarnation().v);
       h = mixed(h, n.acc.promised().v);
-      h = mixed(h, n.acc.state() ? n.acc.state()->bal.v + 1 : 0);
+      h = mixed(h, n.acc.state() ? n.acc.state()->ballot.v + 1 : 0);
       h = mixed(h, n.disk.promised.v);
-      h = mixed(h, n.disk.st ? n.disk.st->bal.v + 1 : 0);
-      h = mixed(h, n.committed ? n.committed->bal.v + 1 : 0);
+      h = mixed(h, n.disk.st ? n.disk.st->ballot.v + 1 : 0);
+      h = mixed(h, n.committed ? n.committed->ballot.v + 1 : 0);
       h = mixed(h, static_cast<u64>(n.prop.phase()));
       h = mixed(h, n.prop.counter());
       if (!n.prop.idle()) {
         h = mixed(h, n.prop.ballot().v);
-        h = mixed(h, n.prop.base().bal.v);
+        h = mixed(h, n.prop.base().ballot.v);
         h = mixed(h, static_cast<u64>(n.wish) << 8 | n.arg);
         for (std::string const& s : n.prop.promised())
           h = mixed(h, s);
@@ -239,10 +241,10 @@
       h = mixed(h, m->id);
     for (auto const& [a, b] : cut_)
       h = mixed(h, a << 8 | b);
-    for (PlanField const& f : plan_fields)
+    for (BoundsField const& f : kBoundsFields)
       h = mixed(h, left_.*f.at);
     for (StateP const& s : won_)
-      h = mixed(h, s->bal.v);
+      h = mixed(h, s->ballot.v);
     for (auto const& [b, d] : values_)
       h = mixed(h, d);
     return h;
@@ -283,25 +285,25 @@
     return s;
   }
 
-  std::vector<std::shared_ptr<State const>> const& won() const { return won_; }
+  std::vector<std::shared_ptr<ReplicatedState const>> const& won() const { return won_; }
 
  private:
-  using StateP = std::shared_ptr<State const>;
+  using StateP = std::shared_ptr<ReplicatedState const>;
   enum class Kind : u8 { prep, prepR, acc, accR };
   struct Msg {
     u32 from = 0, to = 0;
-    std::variant<Prep, PrepR, Acc, AccR> what;
+    std::variant<PrepareRequest, PrepareResponse, AcceptRequest, AcceptResponse> what;
     u64 id = 0;
     Kind kind() const { return static_cast<Kind>(what.index()); }
     Ballot ballot() const {
-      return std::visit([](auto const& x) { return x.bal; }, what);
+      return std::visit([](auto const& x) { return x.ballot; }, what);
     }
   };
   using MsgP = std::shared_ptr<Msg const>;
   struct Disk {
-    Life life;
+    Incarnation incarnation;
     Ballot promised;
-    std::optional<State> st;
+    std::optional<ReplicatedState> st;
   };
   struct Node {
     Node(Acceptor a, Proposer p) : acc(std::move(a)), prop(std::move(p)) {}
@@ -311,65 +313,66 @@
     Disk disk;
     std::vector<MsgP> late;     // answers that wait for the disk
     std::vector<MsgP> unheard;  // the same, but who asked is gone
-    std::array<std::pair<Life, Ballot>, 8> heard{};
+    std::array<std::pair<Incarnation, Ballot>, 8> heard{};
     Wish wish = Wish::finish;
     u8 arg = 0;
     bool open = false;  // its round is not over
     bool waits() const {
       return !late.empty() || disk.promised != acc.promised() ||
-             (acc.state() && (!disk.st || disk.st->bal != acc.state()->bal));
+             (acc.state() && (!disk.st || disk.st->ballot != acc.state()->ballot));
     }
   };
 
-  static Member member(u32 i, Life l) {
+  static Member member(u32 i, Incarnation l) {
     Member m;
     m.ip = address(i);
-    m.life = l;
+    m.incarnation = l;
     m.whole = true;  // keys are another model
     return m;
   }
   void fail(std::string const& s) {
     if (breach_.empty()) breach_ = s;
   }
-  static State const* best(Node const& n) {
-    State const* b = n.committed.get();
-    if (n.acc.state() && (b == nullptr || n.acc.state()->bal > b->bal)) b = &*n.acc.state();
+  static ReplicatedState const* best(Node const& n) {
+    ReplicatedState const* b = n.committed.get();
+    if (n.acc.state() && (b == nullptr || n.acc.state()->ballot > b->ballot)) b = &*n.acc.state();
     return b;
   }
 
   // ---- disks -----------------------------------------------------------------------
-  void note_value(State const& s) {
-    u64 const d = mixed(s.bal.v, codec::pack(s));
-    auto const [it, fresh] = values_.try_emplace(s.bal.v, d);
+  void note_value(ReplicatedState const& s) {
+    u64 const d = mixed(s.ballot.v, codec::pack(s));
+    auto const [it, fresh] = values_.try_emplace(s.ballot.v, d);
     if (!fresh && it->second != d) fail("two values under one ballot");
   }
   // All that waits is on disk now, in order.
   void flush(u32 x) {
     Node& n = nodes_[x];
     n.disk.promised = n.acc.promised();
-    if (n.acc.state() && (!n.disk.st || n.disk.st->bal != n.acc.state()->bal)) {
+    if (n.acc.state() && (!n.disk.st || n.disk.st->ballot != n.acc.state()->ballot)) {
       n.disk.st = n.acc.state();
       note_value(*n.disk.st);
-      taken_.insert({n.disk.st->bal.v, x, n.disk.life.v});
+      taken_.insert({n.disk.st->ballot.v, x, n.disk.incarnation.v});
     }
     for (MsgP const& m : n.unheard)
-      taken_.insert({m->ballot().v, x, n.disk.life.v});
+      taken_.insert({m->ballot().v, x, n.disk.incarnation.v});
     n.unheard.clear();
     std::vector<MsgP> late;
     late.swap(n.late);
     for (MsgP const& m : late) {  // one that another value has followed was taken all the same
-      if (m->kind() == Kind::accR && std::get<AccR>(m->what).ok) taken_.insert({m->ballot().v, x, n.disk.life.v});
+      if (m->kind() == Kind::accR && std::get<AcceptResponse>(m->what).ok)
+        taken_.insert({m->ballot().v, x, n.disk.incarnation.v});
       put(m);
     }
   }
   void start(u32 x) {
     Node& n = nodes_[x];
-    Ballot const promised = F::forgets_on_restart && n.disk.st ? n.disk.st->bal : n.disk.promised;
-    n.acc = Acceptor(n.disk.life, promised, n.disk.st);
+    Ballot const promised = F::forgets_on_restart && n.disk.st ? n.disk.st->ballot : n.disk.promised;
+    n.acc = Acceptor(n.disk.incarnation, promised, n.disk.st);
     n.prop = Proposer(address(x));
     n.prop.saw(promised);
     n.committed.reset();
-    if (n.disk.st && n.disk.st->bal == Ballot(0)) n.committed = std::make_shared<State const>(*n.disk.st);
+    if (n.disk.st && n.disk.st->ballot == Ballot(0)) n.committed = std::make_shared<ReplicatedState const>(*n.disk.st);
     n.late.clear();
     n.unheard.clear();
     n.heard = {};
@@ -384,7 +387,7 @@
       auto const keep = std::stable_partition(o.late.begin(), o.late.end(), [&](MsgP const& m) { return !lost(m); });
       for (auto it = keep; it != o.late.end(); ++it) {
         // The write goes on, though nobody hears of it.
-        if ((*it)->kind() == Kind::accR && std::get<AccR>((*it)->what).ok) o.unheard.push_back(*it);
+        if ((*it)->kind() == Kind::accR && std::get<AcceptResponse>((*it)->what).ok) o.unheard.push_back(*it);
       }
       o.late.erase(keep, o.late.end());
     }
@@ -393,21 +396,21 @@
   bool bears(std::vector<Member> const& l, u32 x) const {
     return l.empty() || static_cast<std::size_t>(std::count_if(l.begin(), l.end(), [&](Member const& m) {
                           u32 const i = node_at(m.ip);
-                          return i != x && nodes_[i].disk.life == m.life;
+                          return i != x && nodes_[i].disk.incarnation == m.incarnation;
                         })) > l.size() / 2;
   }
   // Only as many disks are lost as any roster on a disk can bear.
   bool may_wipe(u32 x) const {
     for (Node const& n : nodes_)
-      for (State const* s : {n.disk.st ? &*n.disk.st : nullptr, best(n)})
-        if (s != nullptr && !(bears(s->roster, x) && bears(s->was, x))) return false;
-    return bears(won_.back()->roster, x);
+      for (ReplicatedState const* s : {n.disk.st ? &*n.disk.st : nullptr, best(n)})
+        if (s != nullptr && !(bears(s->membership, x) && bears(s->previous_membership, x))) return false;
+    return bears(won_.back()->membership, x);
   }
   // Who takes a member out sees to it that the others are up.
-  bool may_leave(State const& s, u32 x) const {
-    State t = s;
-    std::erase_if(t.roster, [&](Member const& m) { return m.ip == address(x); });
-    return bears(t.roster, x);
+  bool may_leave(ReplicatedState const& s, u32 x) const {
+    ReplicatedState t = s;
+    std::erase_if(t.membership, [&](Member const& m) { return m.ip == address(x); });
+    return bears(t.membership, x);
   }
 
   // ---- network ---------------------------------------------------------------------
@@ -451,29 +454,30 @@
   // ---- the acceptor's side -----------------------------------------------------------
   void ask(Msg const& m, How how) {
     Node& n = nodes_[m.to];
-    Acceptor::Step s;
+    Acceptor::PendingWrite s;
     MsgP back;
     if (m.kind() == Kind::prep) {
-      Prep p = std::get<Prep>(m.what);
-      Life const meant = p.life;
-      if (F::votes_for_other_life) p.life = n.acc.life();
-      PrepR r;
+      PrepareRequest p = std::get<PrepareRequest>(m.what);
+      Incarnation const meant = p.incarnation;
+      if (F::votes_for_other_life) p.incarnation = n.acc.incarnation();
+      PrepareResponse r;
       s = n.acc.prepare(p, r);
-      if (F::votes_for_other_life) r.life = meant;
+      if (F::votes_for_other_life) r.incarnation = meant;
       back = made(m.to, m.from, r);
     } else {
-      Acc a = std::get<Acc>(m.what);
-      Life const meant = a.life;
-      if (F::votes_for_other_life) a.life = n.acc.life();
-      if (F::accepts_below_promise) n.acc = Acceptor(n.acc.life(), std::min(n.acc.promised(), a.bal), n.acc.state());
+      AcceptRequest a = std::get<AcceptRequest>(m.what);
+      Incarnation const meant = a.incarnation;
+      if (F::votes_for_other_life) a.incarnation = n.acc.incarnation();
+      if (F::accepts_below_promise)
+        n.acc = Acceptor(n.acc.incarnation(), std::min(n.acc.promised(), a.ballot), n.acc.state());
       if (F::applies_on_any_base && !a.delta.empty() && n.acc.state()) {
-        Delta d = codec::unpack<Delta>(a.delta);
-        d.base = n.acc.state()->bal;
+        StateDelta d = codec::unpack<StateDelta>(a.delta);
+        d.base = n.acc.state()->ballot;
         a.delta = codec::pack(d);
       }
-      AccR r;
+      AcceptResponse r;
       s = n.acc.accept(a, r);
-      if (F::votes_for_other_life) r.life = meant;
+      if (F::votes_for_other_life) r.incarnation = meant;
       back = made(m.to, m.from, r);
     }
     if (s.write && how == How::write_waits) {
@@ -503,20 +507,20 @@
     Node& n = nodes_[m.to];
     std::string const from = address(m.from);
     if (m.kind() == Kind::prepR) {
-      PrepR r = std::get<PrepR>(m.what);
+      PrepareResponse r = std::get<PrepareResponse>(m.what);
       if (F::adopts_nothing) {
         r.full = false;
         r.state.clear();
       }
       outs(m.to, n.prop.on_prep(from, r));
     } else {
-      outs(m.to, n.prop.on_acc(from, std::get<AccR>(m.what)));
+      outs(m.to, n.prop.on_acc(from, std::get<AcceptResponse>(m.what)));
       pretend(n);
     }
     if (!n.open || !n.prop.done()) return;
     n.open = false;
     if (!n.prop.won()) return;
-    State const v = n.prop.value();
+    ReplicatedState const v = n.prop.value();
     note_won(v);
     learn(m.to, v);
   }
@@ -524,23 +528,23 @@
   void pretend(Node& n) {
     if constexpr (F::counts_new_roster_only || F::counts_old_roster_only || F::wins_by_one_too_few) {
       if (n.prop.phase() != Proposer::Phase::accepting) return;
-      State const from = n.prop.base(), to = n.prop.value();
-      auto lacks = [&](State const& s) {
+      ReplicatedState const from = n.prop.base(), to = n.prop.value();
+      auto lacks = [&](ReplicatedState const& s) {
         std::size_t k = 0;
-        for (Member const& m : s.roster)
-          k += n.prop.accepted().count(m.ip + "/" + std::to_string(m.life.v));
+        for (Member const& m : s.membership)
+          k += n.prop.accepted().count(m.ip + "/" + std::to_string(m.incarnation.v));
         return k >= s.majority() ? 0 : s.majority() - k;
       };
       bool const enough = F::counts_new_roster_only   ? lacks(to) == 0
                           : F::counts_old_roster_only ? lacks(from) == 0
                                                       : lacks(to) <= 1 && lacks(from) <= 1;
       if (!enough) return;
-      for (auto const* l : {&from.roster, &to.roster, &to.was})
+      for (auto const* l : {&from.membership, &to.membership, &to.previous_membership})
         for (Member const& m : *l) {
-          AccR r;
+          AcceptResponse r;
           r.ok = true;
-          r.bal = n.prop.ballot();
-          r.life = m.life;
+          r.ballot = n.prop.ballot();
+          r.incarnation = m.incarnation;
           n.prop.on_acc(m.ip, r);
         }
     }
@@ -548,30 +552,30 @@
 
   bool propose(u32 x, Wish w, u8 arg) {
     Node& n = nodes_[x];
-    State const* b = best(n);
+    ReplicatedState const* b = best(n);
     if (b == nullptr || left_.proposals == 0) return false;
     u32 const all = static_cast<u32>(nodes_.size());
     auto joining = [&](u32 i) {
-      Member const m = member(i, nodes_[i].acc.life());
-      return Proposer::Change([m](State& s) { return s.admit(m); });
+      Member const m = member(i, nodes_[i].acc.incarnation());
+      return Proposer::Change([m](ReplicatedState& s) { return s.admit(m); });
     };
-    auto leaving = [](u32 i, Life l) {
-      return Proposer::Change([ip = address(i), l](State& s) {
-        return s.roster.size() > 2 &&
-               std::erase_if(s.roster, [&](Member const& m) { return m.ip == ip && m.life == l; }) > 0;
+    auto leaving = [](u32 i, Incarnation l) {
+      return Proposer::Change([ip = address(i), l](ReplicatedState& s) {
+        return s.membership.size() > 2 &&
+               std::erase_if(s.membership, [&](Member const& m) { return m.ip == ip && m.incarnation == l; }) > 0;
       });
     };
-    Proposer::Change change = [](State&) { return false; };
+    Proposer::Change change = [](ReplicatedState&) { return false; };
     switch (w) {
       case Wish::finish: break;
       case Wish::item:
         if (arg == 0 || arg > left_.items) return false;
-        change = [x, arg](State& s) {
+        change = [x, arg](ReplicatedState& s) {
           auto m = s.by_key();
-          Amendment a;
-          a.items.push_back(Item{"r/k", Gen(arg), false, address(x)});
+          ConfigChange a;
+          a.items.push_back(ConfigItem{"r/k", Generation(arg), false, address(x)});
           std::string f;
-          if (dockbend::join(m, a, f) != Joined::changed) return false;
+          if (dockbend::join(m, a, f) != MergeResult::changed) return false;
           s.items.clear();
           for (auto& [k, i] : m)
             s.items.push_back(i);
@@ -587,17 +591,17 @@
         Member const* m = arg < all ? b->member(address(arg)) : nullptr;
         if (left_.leaves == 0 || m == nullptr || !may_leave(*b, arg)) return false;
         --left_.leaves;
-        change = leaving(arg, m->life);
+        change = leaving(arg, m->incarnation);
         break;
       }
       case Wish::join_all: {
         std::vector<Proposer::Change> v;
         for (u32 i = 0; i < all; ++i)
-          if (Member const* m = b->member(address(i)); m == nullptr || m->life != nodes_[i].acc.life())
+          if (Member const* m = b->member(address(i)); m == nullptr || m->incarnation != nodes_[i].acc.incarnation())
             v.push_back(joining(i));
         if (left_.joins < v.size() || v.empty()) return false;
         left_.joins -= static_cast<u32>(v.size());
-        change = [v](State& s) {
+        change = [v](ReplicatedState& s) {
           bool any = false;
           for (auto const& c : v)
             any = c(s) || any;
@@ -610,7 +614,7 @@
         Member const* m = out < all ? b->member(address(out)) : nullptr;
         if (left_.swaps == 0 || in >= all || m == nullptr || !may_leave(*b, out)) return false;
         --left_.swaps;
-        change = [a = joining(in), d = leaving(out, m->life)](State& s) { return a(s) && d(s); };
+        change = [a = joining(in), d = leaving(out, m->incarnation)](ReplicatedState& s) { return a(s) && d(s); };
         break;
       }
       default: return false;
@@ -626,31 +630,31 @@
     n.prop.saw(n.acc.promised());
     std::optional<Epoch> known = n.committed ? std::optional<Epoch>(n.committed->epoch) : std::nullopt;
     if (F::steps_on_unwon_step) known = b->epoch;
-    outs(x, n.prop.begin(State(*b), change, 0, known));
+    outs(x, n.prop.begin(ReplicatedState(*b), change, 0, known));
     return true;
   }
 
   // ---- what is won -------------------------------------------------------------------
-  void note_won(State const& v) {
+  void note_won(ReplicatedState const& v) {
     note_value(v);
-    auto on = [&](Member const& m) { return taken_.count({v.bal.v, node_at(m.ip), m.life.v}) > 0; };
+    auto on = [&](Member const& m) { return taken_.count({v.ballot.v, node_at(m.ip), m.incarnation.v}) > 0; };
     auto majority = [&](std::vector<Member> const& l) {
       return static_cast<std::size_t>(std::count_if(l.begin(), l.end(), on)) > l.size() / 2;
     };
     auto const at =
-        std::lower_bound(won_.begin(), won_.end(), v.bal, [](StateP const& s, Ballot b) { return s->bal < b; });
-    if (at != won_.end() && (*at)->bal == v.bal) return;
-    if (v.bal.v != 0) {
-      if (!majority(v.roster)) fail("won on too few disks of its roster");
-      if (at != won_.begin() && !majority((*(at - 1))->roster)) fail("won on too few disks of the roster before");
+        std::lower_bound(won_.begin(), won_.end(), v.ballot, [](StateP const& s, Ballot b) { return s->ballot < b; });
+    if (at != won_.end() && (*at)->ballot == v.ballot) return;
+    if (v.ballot.v != 0) {
+      if (!majority(v.membership)) fail("won on too few disks of its roster");
+      if (at != won_.begin() && !majority((*(at - 1))->membership)) fail("won on too few disks of the roster before");
     }
-    auto const here = won_.insert(at, std::make_shared<State const>(v));
+    auto const here = won_.insert(at, std::make_shared<ReplicatedState const>(v));
     for (auto it = won_.begin(); it != won_.end(); ++it) {
       if (it < here) follows(**it, v);
       if (it > here) follows(v, **it);
     }
   }
-  void follows(State const& a, State const& b) {
+  void follows(ReplicatedState const& a, ReplicatedState const& b) {
     auto const x = a.by_key(), y = b.by_key();
     for (auto const& [k, i] : x) {
       auto const it = y.find(k);
@@ -660,25 +664,26 @@
     }
     if (b.epoch < a.epoch) fail("the roster went back");
   }
-  void learn(u32 x, State const& s) {
+  void learn(u32 x, ReplicatedState const& s) {
     Node& n = nodes_[x];
-    if (n.committed && n.committed->bal >= s.bal) return;
-    n.committed = std::make_shared<State const>(s);
-    n.prop.saw(s.bal);
+    if (n.committed && n.committed->ballot >= s.ballot) return;
+    n.committed = std::make_shared<ReplicatedState const>(s);
+    n.prop.saw(s.ballot);
     if (n.acc.learn(s)) flush(x);
   }
   // a tells b its newest value: as a delta where b has one, else whole.
   bool learn_from(u32 a, u32 b) {
     Node& n = nodes_[b];
     StateP const s = nodes_[a].committed;
-    if (!s || cut_.count({a, b}) > 0 || (n.committed && n.committed->bal >= s->bal)) return false;
-    if (n.acc.state() && n.acc.state()->bal == s->bal) {
-      learn(b, State(*n.acc.state()));
+    if (!s || cut_.count({a, b}) > 0 || (n.committed && n.committed->ballot >= s->ballot)) return false;
+    if (n.acc.state() && n.acc.state()->ballot == s->ballot) {
+      learn(b, ReplicatedState(*n.acc.state()));
       return true;
     }
     if (n.committed) {
-      State t = *n.committed;
-      if (!apply(t, codec::unpack<Delta>(codec::pack(delta_of(*n.committed, *s)))) || codec::pack(t) != codec::pack(*s))
+      ReplicatedState t = *n.committed;
+      if (!apply(t, codec::unpack<StateDelta>(codec::pack(delta_of(*n.committed, *s)))) ||
+          codec::pack(t) != codec::pack(*s))
         fail("a delta gives another value");
     }
     learn(b, *s);
@@ -689,25 +694,25 @@
     Node& n = nodes_[b];
     Disk const& d = nodes_[a].disk;
     if (left_.tells == 0 || !d.st || cut_.count({a, b}) > 0) return false;
-    if (n.heard[a] == std::pair(d.life, d.st->bal)) return false;
+    if (n.heard[a] == std::pair(d.incarnation, d.st->ballot)) return false;
     --left_.tells;
-    n.heard[a] = {d.life, d.st->bal};
-    if (!n.acc.state() || (n.committed && n.acc.state()->bal <= n.committed->bal)) return true;
-    State s = *n.acc.state();
+    n.heard[a] = {d.incarnation, d.st->ballot};
+    if (!n.acc.state() || (n.committed && n.acc.state()->ballot <= n.committed->ballot)) return true;
+    ReplicatedState s = *n.acc.state();
     auto on_disk = [&](Member const& m) {
       u32 const i = node_at(m.ip);
-      if (i == b) return n.disk.st && n.disk.st->bal >= s.bal && m.life == n.disk.life;
-      return n.heard[i].first == m.life && n.heard[i].second == s.bal;
+      if (i == b) return n.disk.st && n.disk.st->ballot >= s.ballot && m.incarnation == n.disk.incarnation;
+      return n.heard[i].first == m.incarnation && n.heard[i].second == s.ballot;
     };
-    State judged = s;
-    if (F::learns_by_new_roster_only) judged.was.clear();
+    ReplicatedState judged = s;
+    if (F::learns_by_new_roster_only) judged.previous_membership.clear();
     if (!judged.stands(on_disk)) return true;
     note_won(s);
     learn(b, s);
     return true;
   }
 
-  Plan left_;
+  Bounds left_;
   std::vector<Node> nodes_;
   std::vector<MsgP> bag_;  // by id, each once
   std::set<std::pair<u32, u32>> cut_;
@@ -719,4 +724,4 @@
   std::string breach_;
 };
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/model_checking/include/model_checking/explore.hpp
+++ b/packages/model_checking/include/model_checking/explore.hpp
@@ -11,7 +11,7 @@
 
 #include "base/types.hpp"
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 
 // One thing that happens. what is the model's own; m names a message by its content.
 struct Action {
@@ -22,7 +22,7 @@
 using Trace = std::vector<Action>;
 
 // How much of everything may happen in one run. Those that a model lacks it ignores.
-struct Plan {
+struct Bounds {
   u32 nodes = 3;      // founders
   u32 spares = 0;     // empty disks that may join
   u32 proposers = 2;  // nodes that bring changes of their own, or holders that claim
@@ -38,34 +38,34 @@
   u32 tells = 0;  // what is on disk told to a mate
   u32 ticks = 0;  // seconds of a model's clock
 };
-struct PlanField {
+struct BoundsField {
   char const* name;
-  u32 Plan::*at;
+  u32 Bounds::*at;
 };
-inline constexpr std::array<PlanField, 17> plan_fields{{{"nodes", &Plan::nodes},
-                                                        {"spares", &Plan::spares},
-                                                        {"proposers", &Plan::proposers},
-                                                        {"proposals", &Plan::proposals},
-                                                        {"items", &Plan::items},
-                                                        {"joins", &Plan::joins},
-                                                        {"leaves", &Plan::leaves},
-                                                        {"swaps", &Plan::swaps},
-                                                        {"restarts", &Plan::restarts},
-                                                        {"wipes", &Plan::wipes},
-                                                        {"repeats", &Plan::repeats},
-                                                        {"holds", &Plan::holds},
-                                                        {"lates", &Plan::lates},
-                                                        {"cuts", &Plan::cuts},
-                                                        {"drops", &Plan::drops},
-                                                        {"tells", &Plan::tells},
-                                                        {"ticks", &Plan::ticks}}};
+inline constexpr std::array<BoundsField, 17> kBoundsFields{{{"nodes", &Bounds::nodes},
+                                                            {"spares", &Bounds::spares},
+                                                            {"proposers", &Bounds::proposers},
+                                                            {"proposals", &Bounds::proposals},
+                                                            {"items", &Bounds::items},
+                                                            {"joins", &Bounds::joins},
+                                                            {"leaves", &Bounds::leaves},
+                                                            {"swaps", &Bounds::swaps},
+                                                            {"restarts", &Bounds::restarts},
+                                                            {"wipes", &Bounds::wipes},
+                                                            {"repeats", &Bounds::repeats},
+                                                            {"holds", &Bounds::holds},
+                                                            {"lates", &Bounds::lates},
+                                                            {"cuts", &Bounds::cuts},
+                                                            {"drops", &Bounds::drops},
+                                                            {"tells", &Bounds::tells},
+                                                            {"ticks", &Bounds::ticks}}};
 
 // A model: its whole state is a value.
 // - actions() lists what may happen next; step() does it, false if it can't be done now;
 // - breach() names the invariant that no longer holds, "" if all do;
 // - settle() ends the faults, lets everything go through and judges the end.
 template <class M>
-concept Model = std::copyable<M> && requires(M m, M const c, Plan const& p, Action x, std::vector<Action>& v) {
+concept Model = std::copyable<M> && requires(M m, M const c, Bounds const& p, Action x, std::vector<Action>& v) {
   M(p);
   c.actions(v);
   { m.step(x) } -> std::same_as<bool>;
@@ -76,7 +76,7 @@
   m.settle();
 };
 
-struct Outcome {
+struct SearchResult {
   std::string breach;  // "": none found
   Trace trace;
   bool settled = false;  // the breach shows once all faults end
@@ -86,17 +86,17 @@
   bool complete = false;  // everything within the bounds was seen
 };
 
-struct Search {
+struct SearchLimits {
   u64 most_states = 100000;
   u32 depth = 100;
 };
 template <Model M>
-Outcome search(M const& first, Search const& how) {
+SearchResult search(M const& first, SearchLimits const& how) {
   struct Way {
     u32 from = 0;
     Action by;
   };
-  Outcome out;
+  SearchResult out;
   std::vector<Way> ways{{}};
   std::unordered_set<u64> seen{first.digest()};
   std::deque<std::pair<u32, M>> edge{{0, first}};
@@ -172,13 +172,13 @@
   }
 }
 
-struct Walks {
+struct WalkLimits {
   u64 seed = 1, count = 100;
   u32 length = 200;
 };
 template <Model M>
-Outcome walk(M const& first, Walks const& how) {
-  Outcome out;
+SearchResult walk(M const& first, WalkLimits const& how) {
+  SearchResult out;
   std::unordered_set<u64> seen;
   std::vector<Action> next;
   for (u64 w = 0; w < how.count; ++w) {
@@ -222,4 +222,4 @@
   return out;
 }
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/model_checking/include/model_checking/faults.hpp
+++ b/packages/model_checking/include/model_checking/faults.hpp
@@ -2,9 +2,9 @@
 // their policy where the real classes are driven; production code has no such switch.
 #pragma once
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 
-struct Sound {
+struct NoFault {
   // Register.
   static constexpr bool replies_before_write = false;  // an acceptor's answer leaves before its write
   static constexpr bool accepts_below_promise = false;
@@ -30,65 +30,65 @@
   static constexpr bool acts_while_handing = false;
 };
 
-struct RepliesBeforeWrite : Sound {
+struct RepliesBeforeWrite : NoFault {
   static constexpr bool replies_before_write = true;
 };
-struct AcceptsBelowPromise : Sound {
+struct AcceptsBelowPromise : NoFault {
   static constexpr bool accepts_below_promise = true;
 };
-struct VotesForOtherLife : Sound {
+struct VotesForOtherLife : NoFault {
   static constexpr bool votes_for_other_life = true;
 };
-struct CountsNewRosterOnly : Sound {
+struct CountsNewRosterOnly : NoFault {
   static constexpr bool counts_new_roster_only = true;
 };
-struct CountsOldRosterOnly : Sound {
+struct CountsOldRosterOnly : NoFault {
   static constexpr bool counts_old_roster_only = true;
 };
-struct WinsByOneTooFew : Sound {
+struct WinsByOneTooFew : NoFault {
   static constexpr bool wins_by_one_too_few = true;
 };
-struct AdoptsNothing : Sound {
+struct AdoptsNothing : NoFault {
   static constexpr bool adopts_nothing = true;
 };
-struct StepsOnUnwonStep : Sound {
+struct StepsOnUnwonStep : NoFault {
   static constexpr bool steps_on_unwon_step = true;
 };
-struct LearnsByNewRosterOnly : Sound {
+struct LearnsByNewRosterOnly : NoFault {
   static constexpr bool learns_by_new_roster_only = true;
 };
-struct AppliesOnAnyBase : Sound {
+struct AppliesOnAnyBase : NoFault {
   static constexpr bool applies_on_any_base = true;
 };
-struct ForgetsOnRestart : Sound {
+struct ForgetsOnRestart : NoFault {
   static constexpr bool forgets_on_restart = true;
 };
-struct VotesBeforeWhole : Sound {
+struct VotesBeforeWhole : NoFault {
   static constexpr bool votes_before_whole = true;
 };
-struct IgnoresEpoch : Sound {
+struct IgnoresEpoch : NoFault {
   static constexpr bool ignores_epoch = true;
 };
-struct CopiesFromTooFew : Sound {
+struct CopiesFromTooFew : NoFault {
   static constexpr bool copies_from_too_few = true;
 };
-struct CopiesUnmoved : Sound {
+struct CopiesUnmoved : NoFault {
   static constexpr bool copies_unmoved = true;
 };
-struct CopiesUnsynced : Sound {
+struct CopiesUnsynced : NoFault {
   static constexpr bool copies_unsynced = true;
 };
-struct ShrinksFreely : Sound {
+struct ShrinksFreely : NoFault {
   static constexpr bool shrinks_freely = true;
 };
-struct ReturnsAsWhole : Sound {
+struct ReturnsAsWhole : NoFault {
   static constexpr bool returns_as_whole = true;
 };
-struct LeasesFromAnswer : Sound {
+struct LeasesFromAnswer : NoFault {
   static constexpr bool leases_from_answer = true;
 };
-struct ActsWhileHanding : Sound {
+struct ActsWhileHanding : NoFault {
   static constexpr bool acts_while_handing = true;
 };
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/model_checking/include/model_checking/idempotency_model.hpp
+++ b/packages/model_checking/include/model_checking/idempotency_model.hpp
@@ -9,11 +9,11 @@
 #include "idempotency/key_backfill.hpp"
 #include "model_checking/consensus_model.hpp"
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 
 // Judged: no two holders ever win the key.
 template <class F>
-class Ledgers {
+class IdempotencyModel {
  public:
   enum class Do : u8 {
     ask_in,
@@ -36,22 +36,22 @@
                                                      "view",   "claim",  "hear",    "give_up", "release",
                                                      "copy",   "copied", "restart", "wipe",    "sync"};
 
-  explicit Ledgers(Plan const& p) : left_(p) {
-    State f;
+  explicit IdempotencyModel(Bounds const& p) : left_(p) {
+    ReplicatedState f;
     for (u32 i = 0; i < p.nodes; ++i) {
       Member m;
       m.ip = address(i);
-      m.life = Life(1);
+      m.incarnation = Incarnation(1);
       m.whole = true;
-      f.roster.push_back(m);
+      f.membership.push_back(m);
     }
-    won_ = std::make_shared<State const>(f);
+    won_ = std::make_shared<ReplicatedState const>(f);
     for (u32 i = 0; i < p.nodes + p.spares; ++i) {
       bool const founder = i < p.nodes;
       Node n;
-      n.disk.life = n.life = founder ? Life(1) : Life(10 + i);
+      n.disk.incarnation = n.incarnation = founder ? Incarnation(1) : Incarnation(10 + i);
       n.disk.filled = founder ? 1 : 0;
-      n.filling = Filling(n.disk.filled);
+      n.filling = KeyBackfill(n.disk.filled);
       if (founder) n.disk.state = n.state = n.known = won_;
       n.ledger.set_whole(founder);
       nodes_.push_back(n);
@@ -106,7 +106,7 @@
         continue;
       }
       if (a.view != won_) add(Do::view, h);
-      for (Member const& m : a.view->roster) {
+      for (Member const& m : a.view->membership) {
         u32 const x = node_at(m.ip);
         if (a.heard >> x & 1) continue;
         add(Do::claim, h, x, 0);
@@ -142,7 +142,7 @@
         Node& n = nodes_[a.a];
         bool const other = !n.known || n.known->epoch != won_->epoch;
         n.known = won_;
-        if (!n.state || n.state->bal < won_->bal) n.state = won_;
+        if (!n.state || n.state->ballot < won_->ballot) n.state = won_;
         if (other) n.filling.reset();
         fit(a.a);
         sync(a.a);
@@ -170,7 +170,7 @@
         if (a.a >= askers_.size() || a.b >= all || !askers_[a.a].over || !(askers_[a.a].sent >> a.b & 1)) return false;
         Asker& h = askers_[a.a];
         h.sent &= ~(1U << a.b);
-        Release r;
+        ReleaseRequest r;
         r.key = "k";
         r.holder = holder(a.a);
         if (nodes_[a.b].ledger.release(r)) nodes_[a.b].key.reset();  // the disk hears of it with its next write
@@ -191,7 +191,7 @@
       case Do::wipe:
         if (a.a >= all || !may_wipe(a.a) || !spend(left_.wipes)) return false;
         nodes_[a.a].disk = Disk{};
-        nodes_[a.a].disk.life = Life(100 + next_life_++);
+        nodes_[a.a].disk.incarnation = Incarnation(100 + next_life_++);
         start(a.a);
         return true;
       case Do::sync:
@@ -203,13 +203,13 @@
   }
 
   u64 digest() const {
-    u64 h = mixed(won_->bal.v, pending_ ? pending_->bal.v : 0);
+    u64 h = mixed(won_->ballot.v, pending_ ? pending_->ballot.v : 0);
     for (auto const& [x, l] : moved_)
       h = mixed(h, x << 20 | l);
-    auto bal = [](StateP const& s) { return s ? s->bal.v + 1 : 0; };
+    auto ballot = [](StateP const& s) { return s ? s->ballot.v + 1 : 0; };
     for (Node const& n : nodes_) {
-      for (u64 const x : {n.life.v, bal(n.state), bal(n.known), bal(n.disk.state), n.disk.filled, n.filling.filled(),
-                          u64{n.ledger.whole()}})
+      for (u64 const x : {n.incarnation.v, ballot(n.state), ballot(n.known), ballot(n.disk.state), n.disk.filled,
+                          n.filling.filled(), u64{n.ledger.whole()}})
         h = mixed(h, x);
       for (auto const* k : {&n.key, &n.disk.key})
         h = mixed(h, *k ? (**k).holder << 1 | (**k).sealed : 1000);
@@ -219,7 +219,7 @@
         h = mixed(h, tag(r));
     }
     for (Asker const& a : askers_) {
-      h = mixed(h, a.view->bal.v);
+      h = mixed(h, a.view->ballot.v);
       h = mixed(h, u64{a.sent} << 40 | u64{a.heard} << 20 | a.over << 1 | a.won);
       h = mixed(h, a.quest.grants() << 8 | a.quest.refusals());
     }
@@ -229,7 +229,7 @@
       h = mixed(mixed(h, c.from << 8 | c.to), codec::pack(c.r));
     for (Member const& m : asked_)
       h = mixed(h, codec::pack(m));
-    for (PlanField const& f : plan_fields)
+    for (BoundsField const& f : kBoundsFields)
       h = mixed(h, left_.*f.at);
     return h;
   }
@@ -262,30 +262,30 @@
   }
 
  private:
-  using StateP = std::shared_ptr<State const>;
+  using StateP = std::shared_ptr<ReplicatedState const>;
   struct Entry {
     u64 holder = 0;
     bool sealed = false;
   };
   struct Answer {
     u32 by = 0, asker = 0;
-    ClaimR r;
+    ClaimResponse r;
   };
   struct Copy {
     u32 from = 0, to = 0;
-    RebuildR r;
+    KeyCopyResponse r;
   };
   struct Disk {
-    Life life;
+    Incarnation incarnation;
     StateP state;
     u64 filled = 0;
     std::optional<Entry> key;
   };
   struct Node {
-    Life life;
+    Incarnation incarnation;
     StateP state, known;  // accepted; known to be won
-    Ledger ledger{false};
-    Filling filling{0};
+    KeyTable ledger{false};
+    KeyBackfill filling{0};
     std::optional<Entry> key;  // as the ledger has it
     Disk disk;
     std::vector<Answer> late;
@@ -294,20 +294,20 @@
   };
   struct Asker {
     StateP view;
-    Quest quest{1, Epoch(0)};
+    ClaimQuorum quest{1, Epoch(0)};
     u32 sent = 0, heard = 0;
     bool over = false, won = false;
   };
 
   static u64 holder(u32 h) { return 11 + h; }
   static u64 tag(Answer const& r) { return mixed(r.by << 8 | r.asker, codec::pack(r.r)); }
-  Member const* member_of(State const& s, u32 x) const {
+  Member const* member_of(ReplicatedState const& s, u32 x) const {
     Member const* m = s.member(address(x));
-    return m != nullptr && m->life == nodes_[x].life ? m : nullptr;
+    return m != nullptr && m->incarnation == nodes_[x].incarnation ? m : nullptr;
   }
-  u64 membership(State const& s, u32 x) const {
+  u64 membership(ReplicatedState const& s, u32 x) const {
     Member const* m = member_of(s, x);
-    return Filling::membership(m == nullptr ? std::nullopt : std::optional<Epoch>(m->since));
+    return KeyBackfill::membership(m == nullptr ? std::nullopt : std::optional<Epoch>(m->since));
   }
   void fit(u32 x) {
     Node& n = nodes_[x];
@@ -327,10 +327,10 @@
     for (Answer const& r : late)
       answers_.push_back(r);
     if (pending_ && n.state == pending_) {
-      moved_.insert({x, n.life.v});
-      auto moved = [&](Member const& m) { return moved_.count({node_at(m.ip), m.life.v}) > 0; };
-      State s = *pending_;
-      s.was = won_->roster;
+      moved_.insert({x, n.incarnation.v});
+      auto moved = [&](Member const& m) { return moved_.count({node_at(m.ip), m.incarnation.v}) > 0; };
+      ReplicatedState s = *pending_;
+      s.previous_membership = won_->membership;
       if (s.stands(moved)) {
         won_ = pending_;
         pending_.reset();
@@ -343,10 +343,10 @@
     Disk const d = n.disk;
     n = Node();
     n.disk = d;
-    n.life = d.life;
+    n.incarnation = d.incarnation;
     n.state = d.state;
     n.key = d.key;
-    n.filling = Filling(d.filled);
+    n.filling = KeyBackfill(d.filled);
     if (d.key) n.ledger.load("k", d.key->holder, d.key->sealed, 0);
     fit(x);
   }
@@ -354,17 +354,17 @@
     for (StateP const& s : {won_, pending_}) {
       if (!s) continue;
       std::size_t whole = 0;
-      for (Member const& m : s->roster) {
+      for (Member const& m : s->membership) {
         u32 const i = node_at(m.ip);
         Disk const& d = nodes_[i].disk;
-        whole += i != x && d.life == m.life && d.filled == Filling::membership(m.since) ? 1 : 0;
+        whole += i != x && d.incarnation == m.incarnation && d.filled == KeyBackfill::membership(m.since) ? 1 : 0;
       }
       if (whole < s->majority()) return false;
     }
     return true;
   }
 
-  // What MemberDesk asks for; the word may lie with an usher for any time, or be repeated.
+  // What MembershipService asks for; the word may lie with an usher for any time, or be repeated.
   bool may_ask_in(u32 x) const {
     if (!nodes_[x].known && won_->member(address(x)) != nullptr && member_of(*won_, x) != nullptr) return false;
     Member const m = asking(x);
@@ -376,7 +376,7 @@
     Member const* m = n.known ? member_of(*n.known, x) : nullptr;
     Member me;
     me.ip = address(x);
-    me.life = n.life;
+    me.incarnation = n.incarnation;
     me.whole = n.ledger.whole() && m != nullptr;
     if (m != nullptr) me.since = m->since;
     return me;
@@ -386,32 +386,32 @@
     return true;
   }
   bool begin_step(Member const& m) {
-    State s = *won_;
+    ReplicatedState s = *won_;
     return !pending_ && s.admit(m) && begin(std::move(s));
   }
   bool begin_leave(u32 x) {
     Member const* m = won_->member(address(x));
     if (pending_ || m == nullptr || left_.leaves == 0) return false;
-    State s = *won_;
-    if (F::shrinks_freely) s.widest = 0;
-    if (!s.dismiss(m->ip, Life(m->life))) return false;
+    ReplicatedState s = *won_;
+    if (F::shrinks_freely) s.largest_membership = 0;
+    if (!s.dismiss(m->ip, Incarnation(m->incarnation))) return false;
     --left_.leaves;
     return begin(std::move(s));
   }
   // As the proposer does it: the ballot takes the place of what has no name yet.
-  bool begin(State s) {
-    s.bal = Ballot(++ballot_);
-    bool moved = s.roster.size() != won_->roster.size();
-    for (Member& m : s.roster)
-      if (m.since == unnamed) {
-        m.since = Epoch(s.bal.v);
+  bool begin(ReplicatedState s) {
+    s.ballot = Ballot(++ballot_);
+    bool moved = s.membership.size() != won_->membership.size();
+    for (Member& m : s.membership)
+      if (m.since == kUnassignedEpoch) {
+        m.since = Epoch(s.ballot.v);
         moved = true;
       }
     if (moved) {
-      s.epoch = Epoch(s.bal.v);
-      pending_ = std::make_shared<State const>(std::move(s));
+      s.epoch = Epoch(s.ballot.v);
+      pending_ = std::make_shared<ReplicatedState const>(std::move(s));
     } else {
-      won_ = std::make_shared<State const>(std::move(s));  // a word of one member about itself
+      won_ = std::make_shared<ReplicatedState const>(std::move(s));  // a word of one member about itself
     }
     return true;
   }
@@ -422,7 +422,7 @@
 
   void open(Asker& a) {
     a.view = won_;
-    a.quest = Quest(won_->roster.size(), won_->epoch);
+    a.quest = ClaimQuorum(won_->membership.size(), won_->epoch);
     a.heard = 0;
   }
   bool claim(u32 h, u32 x, bool waits) {
@@ -432,18 +432,18 @@
     a.sent |= 1U << x;
     a.heard |= 1U << x;
     Node& n = nodes_[x];
-    if (m->life != n.life || !n.state) return true;
-    Claim c;
+    if (m->incarnation != n.incarnation || !n.state) return true;
+    ClaimRequest c;
     c.key = "k";
     c.holder = holder(h);
     c.epoch = a.view->epoch;
-    c.life = m->life;
+    c.incarnation = m->incarnation;
     Answer back{x, h, {}};
-    back.r.life = n.life;
+    back.r.incarnation = n.incarnation;
     fit(x);
     if (F::votes_before_whole) n.ledger.set_whole();
     if (F::ignores_epoch) c.epoch = n.state->epoch;
-    if (n.ledger.claim(c, n.state->epoch, 0, back.r) == Say::granted) {
+    if (n.ledger.claim(c, n.state->epoch, 0, back.r) == ClaimVote::granted) {
       n.ledger.written("k", c.holder, true);
       n.key = Entry{c.holder, false};
       sync(x);
@@ -458,10 +458,10 @@
   void hear(Answer const& r) {
     Asker& a = askers_[r.asker];
     Member const* m = a.view->member(address(r.by));
-    if (a.over || a.won || m == nullptr || m->life != r.r.life) return;
-    Quest::End const e = a.quest.hear(address(r.by), r.r);
-    if (e == Quest::End::held) a.over = true;
-    if (e != Quest::End::granted) return;
+    if (a.over || a.won || m == nullptr || m->incarnation != r.r.incarnation) return;
+    ClaimQuorum::Result const e = a.quest.hear(address(r.by), r.r);
+    if (e == ClaimQuorum::Result::held) a.over = true;
+    if (e != ClaimQuorum::Result::granted) return;
     a.won = true;
     if (std::count_if(askers_.begin(), askers_.end(), [](Asker const& x) { return x.won; }) > 1)
       breach_ = "two holders have won one key";
@@ -469,12 +469,14 @@
   bool copy(u32 x, u32 y, bool waits) {
     Node& n = nodes_[x];
     if (!n.known || n.ledger.whole() || member_of(*n.known, x) == nullptr || !n.filling.wants(address(y))) return false;
-    Rebuild q;
+    KeyCopyRequest q;
     q.epoch = F::copies_unmoved ? Epoch(0) : n.known->epoch;
     Node& o = nodes_[y];
     if (!F::copies_unsynced) sync(y);  // the answer waits for all that was handed to the disk before
     fit(y);
-    Copy c{y, x, Filling::answer(o.ledger, o.life, o.state ? std::optional<Epoch>(o.state->epoch) : std::nullopt, q)};
+    Copy c{
+        y, x,
+        KeyBackfill::answer(o.ledger, o.incarnation, o.state ? std::optional<Epoch>(o.state->epoch) : std::nullopt, q)};
     if (F::copies_unmoved) c.r.epoch = n.known->epoch;
     if (waits)
       copies_.push_back(c);
@@ -487,9 +489,9 @@
     if (!n.known) return;
     Member const* m = n.known->member(address(c.from));
     std::size_t const most = n.known->majority() - (F::copies_from_too_few ? 1 : 0);
-    Filling::Step const s =
-        n.filling.hear(address(c.from), c.r, m == nullptr ? std::nullopt : std::optional<Life>(m->life), n.known->epoch,
-                       most, n.ledger, 0);
+    KeyBackfill::Progress const s =
+        n.filling.hear(address(c.from), c.r, m == nullptr ? std::nullopt : std::optional<Incarnation>(m->incarnation),
+                       n.known->epoch, most, n.ledger, 0);
     for (HeldKey const& k : s.put)
       n.key = Entry{k.holder, true};
     if (s.enough) {
@@ -500,7 +502,7 @@
     sync(c.to);
   }
 
-  Plan left_;
+  Bounds left_;
   StateP won_, pending_;
   std::set<std::pair<u32, u64>> moved_;  // who has the pending step on disk
   std::vector<Node> nodes_;
@@ -512,4 +514,4 @@
   std::string breach_;
 };
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/model_checking/include/model_checking/lease_model.hpp
+++ b/packages/model_checking/include/model_checking/lease_model.hpp
@@ -6,17 +6,17 @@
 #include "leases/lease_client.hpp"
 #include "model_checking/consensus_model.hpp"
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 
 // Judged: no two nodes may act at once; and once the faults end one of them may.
 template <class F>
-class Duties {
+class LeaseModel {
  public:
   enum class Do : u8 { tick, ask, apply, answer, lose, see, hand_over, restart };
   static constexpr std::array<char const*, 8> words{"tick", "ask", "apply",     "answer",
                                                     "lose", "see", "hand_over", "restart"};
 
-  explicit Duties(Plan const& p) : left_(p) {
+  explicit LeaseModel(Bounds const& p) : left_(p) {
     for (u32 i = 0; i < p.nodes; ++i) {
       nodes_.emplace_back(born(i));
       nodes_.back().seen = reg_;
@@ -36,8 +36,8 @@
     if (left_.ticks > 0) add(Do::tick);
     for (u32 i = 0; i < all; ++i) {
       Node const& n = nodes_[i];
-      Duty d = n.duty;
-      if (!n.asked && d.step(now_, true) != Duty::Move::none) add(Do::ask, i);
+      LeaseClient d = n.duty;
+      if (!n.asked && d.step(now_, true) != LeaseClient::Action::none) add(Do::ask, i);
       if (n.asked && !n.reached) add(Do::apply, i);
       if (n.asked && n.reached) add(Do::answer, i);
       if (n.asked && left_.drops > 0) add(Do::lose, i);
@@ -61,8 +61,8 @@
         break;
       case Do::ask: {
         if (n.asked) return false;
-        Duty::Move const m = n.duty.step(now_, true);
-        if (m == Duty::Move::none) return false;
+        LeaseClient::Action const m = n.duty.step(now_, true);
+        if (m == LeaseClient::Action::none) return false;
         n.asked = n.duty.ask(m, now_);
         n.reached = n.stood = false;
         break;
@@ -70,16 +70,16 @@
       case Do::apply: {
         if (!n.asked || n.reached) return false;
         n.reached = true;
-        State s = *reg_;
+        ReplicatedState s = *reg_;
         n.stood = n.duty.apply(s, *n.asked);
-        if (n.stood) reg_ = std::make_shared<State const>(std::move(s));
+        if (n.stood) reg_ = std::make_shared<ReplicatedState const>(std::move(s));
         break;
       }
       case Do::answer:
       case Do::lose: {
         bool const lost = static_cast<Do>(a.what) == Do::lose;
         if (!n.asked || (lost ? !spend(left_.drops) : !n.reached)) return false;
-        Duty::Ask x = *n.asked;
+        LeaseClient::Proposal x = *n.asked;
         n.asked.reset();
         if (F::leases_from_answer) x.at = now_;
         n.duty.answered(x, !lost && n.stood, now_);
@@ -107,7 +107,7 @@
 
   void settle() {
     if (!breach_.empty()) return;
-    left_ = Plan{};
+    left_ = Bounds{};
     for (int i = 0; i < 40 && breach_.empty(); ++i) {
       left_.ticks = 1;
       step(Action{static_cast<u8>(Do::tick)});
@@ -122,11 +122,11 @@
   }
 
   u64 digest() const {
-    Term const* t = reg_->term("usage");
+    Lease const* t = reg_->term("usage");
     u64 h = t == nullptr ? 0 : mixed(mixed(t->fence << 8 | t->counter, t->holder), t->next);
     for (Node const& n : nodes_) {
       h = mixed(h, n.seen == reg_);
-      Term const* s = n.seen ? n.seen->term("usage") : nullptr;
+      Lease const* s = n.seen ? n.seen->term("usage") : nullptr;
       h = mixed(h, s == nullptr ? 0 : s->fence << 8 | s->counter);
       h = mixed(h, n.asked ? (static_cast<u64>(n.asked->move) << 8 | n.asked->fence << 16 | n.asked->counter << 24) +
                                  static_cast<u64>(now_ - n.asked->at + 1)
@@ -135,12 +135,12 @@
       h = mixed(h, n.duty.fence() << 2 | u64{n.duty.holds()} << 1 | n.duty.handing());
       // What it would do in the next seconds, if it heard nothing.
       for (int k = 0; k < 5; ++k) {
-        Duty d = n.duty;
+        LeaseClient d = n.duty;
         h = mixed(h, static_cast<u64>(d.step(now_ + k, true)) << 2 | u64{d.may_act(now_ + k, 0)} << 1 |
                          u64{d.free(now_ + k)});
       }
     }
-    for (PlanField const& f : plan_fields)
+    for (BoundsField const& f : kBoundsFields)
       h = mixed(h, left_.*f.at);
     return h;
   }
@@ -162,15 +162,15 @@
 
  private:
   struct Node {
-    explicit Node(Duty d) : duty(std::move(d)) {}
-    Duty duty;
-    std::optional<Duty> before;  // as it was when told to hand over
-    std::shared_ptr<State const> seen;
-    std::optional<Duty::Ask> asked;
+    explicit Node(LeaseClient d) : duty(std::move(d)) {}
+    LeaseClient duty;
+    std::optional<LeaseClient> before;  // as it was when told to hand over
+    std::shared_ptr<ReplicatedState const> seen;
+    std::optional<LeaseClient::Proposal> asked;
     bool reached = false, stood = false;
   };
   static std::string name(u32 i) { return "core-" + std::to_string(i); }
-  Duty born(u32 i) const { return Duty("usage", name(i), address(i), DutyPlan{}, now_); }
+  LeaseClient born(u32 i) const { return LeaseClient("usage", name(i), address(i), LeaseOptions{}, now_); }
   bool acts(Node const& n) const {
     if (F::acts_while_handing && n.duty.handing() && n.before) return n.before->may_act(now_, 0);
     return n.duty.may_act(now_, 0);
@@ -182,11 +182,11 @@
     if (k > 1) breach_ = "two nodes act in one duty at once";
   }
 
-  Plan left_;
-  Secs now_ = 0;
-  std::shared_ptr<State const> reg_ = std::make_shared<State const>();
+  Bounds left_;
+  Seconds now_ = 0;
+  std::shared_ptr<ReplicatedState const> reg_ = std::make_shared<ReplicatedState const>();
   std::vector<Node> nodes_;
   std::string breach_;
 };
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/model_checking/model_catalog.cpp
+++ b/packages/model_checking/model_catalog.cpp
@@ -7,22 +7,23 @@
 #include "model_checking/idempotency_model.hpp"
 #include "model_checking/lease_model.hpp"
 
-namespace dockbend::collation {
+namespace dockbend::model_checking {
 namespace {
 
 template <class M>
-Case made(char const* model, char const* fault, char const* what, Plan const& plan, Walks const& walks) {
+Case made(char const* model, char const* error_response, char const* what, Bounds const& plan,
+          WalkLimits const& walks) {
   static_assert(Model<M>);
   Case c;
   c.model = model;
-  c.fault = fault;
+  c.error_response = error_response;
   c.what = what;
   c.plan = plan;
   c.walks = walks;
-  c.search = [](Plan const& p, Search const& s) { return search(M(p), s); };
-  c.walk = [](Plan const& p, Walks const& w) { return walk(M(p), w); };
-  c.play = [](Plan const& p, Trace const& t) {
-    Played r;
+  c.search = [](Bounds const& p, SearchLimits const& s) { return search(M(p), s); };
+  c.walk = [](Bounds const& p, WalkLimits const& w) { return walk(M(p), w); };
+  c.play = [](Bounds const& p, Trace const& t) {
+    Replay r;
     M m(p);
     for (Action const& a : t) {
       std::string const line = m.describe(a);
@@ -40,8 +41,8 @@
   return c;
 }
 
-Plan rounds(u32 nodes) {
-  Plan p;
+Bounds rounds(u32 nodes) {
+  Bounds p;
   p.nodes = nodes;
   p.spares = 2;
   p.proposers = 3;
@@ -60,14 +61,14 @@
   p.tells = 30;
   return p;
 }
-Plan restarts() {
-  Plan p = rounds(3);
+Bounds restarts() {
+  Bounds p = rounds(3);
   p.spares = p.joins = p.leaves = p.swaps = p.wipes = p.lates = p.cuts = p.drops = 0;
   p.restarts = p.proposals = 10;
   return p;
 }
-Plan claims(u32 nodes) {
-  Plan p;
+Bounds claims(u32 nodes) {
+  Bounds p;
   p.nodes = nodes;
   p.spares = 2;
   p.proposers = 2;
@@ -82,24 +83,24 @@
   return p;
 }
 // One disk of three is lost and comes back empty; nothing else.
-Plan replacement() {
-  Plan p;
+Bounds replacement() {
+  Bounds p;
   p.nodes = 3;
   p.proposers = 2;
   p.joins = 1;
   p.wipes = 1;
   return p;
 }
-Plan out_and_back() {
-  Plan p;
+Bounds out_and_back() {
+  Bounds p;
   p.nodes = 4;
   p.proposers = 2;
   p.joins = 2;
   p.leaves = 2;
   return p;
 }
-Plan terms() {
-  Plan p;
+Bounds terms() {
+  Bounds p;
   p.nodes = 3;
   p.ticks = 60;
   p.swaps = 6;
@@ -115,69 +116,72 @@
     char const* const r = "registers";
     char const* const l = "ledgers";
     char const* const d = "duties";
-    Walks const w{1, 1000, 200};
-    v.push_back(made<Registers<Sound>>(r, no_fault, "the register as it is", rounds(3), w));
-    v.push_back(made<Registers<RepliesBeforeWrite>>(r, "replies-before-write",
-                                                    "an acceptor's answer leaves before its write", rounds(3), w));
-    v.push_back(made<Registers<AcceptsBelowPromise>>(r, "accepts-below-promise",
-                                                     "an acceptor takes a ballot below its promise", rounds(3), w));
-    v.push_back(made<Registers<VotesForOtherLife>>(r, "votes-for-other-life",
-                                                   "an acceptor takes what was meant for another disk", rounds(3), w));
-    v.push_back(made<Registers<CountsNewRosterOnly>>(r, "counts-new-roster-only",
-                                                     "a step is won by a majority of the new roster", rounds(3), w));
-    v.push_back(made<Registers<CountsOldRosterOnly>>(r, "counts-old-roster-only",
-                                                     "a step is won by a majority of the old roster", rounds(3), w));
+    WalkLimits const w{1, 1000, 200};
+    v.push_back(made<ConsensusModel<NoFault>>(r, kNoFault, "the register as it is", rounds(3), w));
+    v.push_back(made<ConsensusModel<RepliesBeforeWrite>>(r, "replies-before-write",
+                                                         "an acceptor's answer leaves before its write", rounds(3), w));
+    v.push_back(made<ConsensusModel<AcceptsBelowPromise>>(
+        r, "accepts-below-promise", "an acceptor takes a ballot below its promise", rounds(3), w));
+    v.push_back(made<ConsensusModel<VotesForOtherLife>>(
+        r, "votes-for-other-life", "an acceptor takes what was meant for another disk", rounds(3), w));
+    v.push_back(made<ConsensusModel<CountsNewRosterOnly>>(
+        r, "counts-new-roster-only", "a step is won by a majority of the new roster", rounds(3), w));
+    v.push_back(made<ConsensusModel<CountsOldRosterOnly>>(
+        r, "counts-old-roster-only", "a step is won by a majority of the old roster", rounds(3), w));
     v.push_back(
-        made<Registers<WinsByOneTooFew>>(r, "wins-by-one-too-few", "one less than a majority wins", rounds(3), w));
-    v.push_back(made<Registers<AdoptsNothing>>(
+        made<ConsensusModel<WinsByOneTooFew>>(r, "wins-by-one-too-few", "one less than a majority wins", rounds(3), w));
+    v.push_back(made<ConsensusModel<AdoptsNothing>>(
         r, "adopts-nothing", "a proposer goes by its own value, not by the newest found", rounds(3), w));
-    v.push_back(made<Registers<StepsOnUnwonStep>>(r, "steps-on-unwon-step",
-                                                  "any step found counts as won (the code before)", rounds(3), w));
-    v.push_back(made<Registers<LearnsByNewRosterOnly>>(
+    v.push_back(made<ConsensusModel<StepsOnUnwonStep>>(r, "steps-on-unwon-step",
+                                                       "any step found counts as won (the code before)", rounds(3), w));
+    v.push_back(made<ConsensusModel<LearnsByNewRosterOnly>>(
         r, "learns-by-new-roster-only", "learning without a round asks the new roster only", rounds(3), w));
-    v.push_back(made<Registers<AppliesOnAnyBase>>(r, "applies-on-any-base", "a delta goes on whatever value is there",
-                                                  rounds(3), w));
-    v.push_back(made<Registers<ForgetsOnRestart>>(r, "forgets-on-restart", "a promise is not read back from disk",
-                                                  restarts(), Walks{1, 2000, 150}));
-    v.push_back(made<Ledgers<Sound>>(l, no_fault, "claims as they are", claims(5), Walks{1, 1000, 120}));
-    v.push_back(made<Ledgers<VotesBeforeWhole>>(l, "votes-before-whole", "a new disk grants before it copied",
-                                                replacement(), Walks{1, 2000, 60}));
-    v.push_back(made<Ledgers<IgnoresEpoch>>(l, "ignores-epoch", "a disk grants whatever epoch is named", replacement(),
-                                            Walks{1, 3000, 60}));
-    v.push_back(made<Ledgers<CopiesFromTooFew>>(l, "copies-from-too-few",
-                                                "a new disk copies from one less than a majority", replacement(),
-                                                Walks{1, 2000, 60}));
-    Walks const rare{1, 0, 0};  // too rare for walks; the tests show it by a trace
-    Plan five = replacement();
+    v.push_back(made<ConsensusModel<AppliesOnAnyBase>>(r, "applies-on-any-base",
+                                                       "a delta goes on whatever value is there", rounds(3), w));
+    v.push_back(made<ConsensusModel<ForgetsOnRestart>>(r, "forgets-on-restart", "a promise is not read back from disk",
+                                                       restarts(), WalkLimits{1, 2000, 150}));
+    v.push_back(
+        made<IdempotencyModel<NoFault>>(l, kNoFault, "claims as they are", claims(5), WalkLimits{1, 1000, 120}));
+    v.push_back(made<IdempotencyModel<VotesBeforeWhole>>(l, "votes-before-whole", "a new disk grants before it copied",
+                                                         replacement(), WalkLimits{1, 2000, 60}));
+    v.push_back(made<IdempotencyModel<IgnoresEpoch>>(l, "ignores-epoch", "a disk grants whatever epoch is named",
+                                                     replacement(), WalkLimits{1, 3000, 60}));
+    v.push_back(made<IdempotencyModel<CopiesFromTooFew>>(l, "copies-from-too-few",
+                                                         "a new disk copies from one less than a majority",
+                                                         replacement(), WalkLimits{1, 2000, 60}));
+    WalkLimits const rare{1, 0, 0};  // too rare for walks; the tests show it by a trace
+    Bounds five = replacement();
     five.nodes = 5;
-    v.push_back(made<Ledgers<CopiesUnmoved>>(
+    v.push_back(made<IdempotencyModel<CopiesUnmoved>>(
         l, "copies-unmoved", "a new disk copies from disks that still grant under the old epoch", five, rare));
     five.lates = five.restarts = 1;
-    v.push_back(made<Ledgers<CopiesUnsynced>>(l, "copies-unsynced",
-                                              "it copies from disks whose move is not on disk yet", five, rare));
-    v.push_back(made<Ledgers<ShrinksFreely>>(l, "shrinks-freely", "removals without regard to claims won before",
-                                             claims(5), Walks{1, 2000, 120}));
-    v.push_back(made<Ledgers<ReturnsAsWhole>>(l, "returns-as-whole", "a removed disk comes back with its old ledger",
-                                              out_and_back(), Walks{1, 2000, 80}));
-    v.push_back(made<Duties<Sound>>(d, no_fault, "duties as they are", terms(), Walks{1, 300, 300}));
-    v.push_back(made<Duties<LeasesFromAnswer>>(d, "leases-from-answer", "a lease is counted from the answer", terms(),
-                                               Walks{1, 300, 300}));
-    v.push_back(made<Duties<ActsWhileHanding>>(
-        d, "acts-while-handing", "a holder acts on after it was told to hand over", terms(), Walks{1, 300, 300}));
+    v.push_back(made<IdempotencyModel<CopiesUnsynced>>(
+        l, "copies-unsynced", "it copies from disks whose move is not on disk yet", five, rare));
+    v.push_back(made<IdempotencyModel<ShrinksFreely>>(
+        l, "shrinks-freely", "removals without regard to claims won before", claims(5), WalkLimits{1, 2000, 120}));
+    v.push_back(made<IdempotencyModel<ReturnsAsWhole>>(l, "returns-as-whole",
+                                                       "a removed disk comes back with its old ledger", out_and_back(),
+                                                       WalkLimits{1, 2000, 80}));
+    v.push_back(made<LeaseModel<NoFault>>(d, kNoFault, "duties as they are", terms(), WalkLimits{1, 300, 300}));
+    v.push_back(made<LeaseModel<LeasesFromAnswer>>(d, "leases-from-answer", "a lease is counted from the answer",
+                                                   terms(), WalkLimits{1, 300, 300}));
+    v.push_back(made<LeaseModel<ActsWhileHanding>>(
+        d, "acts-while-handing", "a holder acts on after it was told to hand over", terms(), WalkLimits{1, 300, 300}));
     return v;
   }();
   return all;
 }
 
-Case const* find(std::string const& model, std::string const& fault) {
+Case const* find(std::string const& model, std::string const& error_response) {
   auto const& v = cases();
-  auto const it = std::find_if(v.begin(), v.end(), [&](Case const& c) { return c.model == model && c.fault == fault; });
+  auto const it = std::find_if(v.begin(), v.end(),
+                               [&](Case const& c) { return c.model == model && c.error_response == error_response; });
   return it == v.end() ? nullptr : &*it;
 }
 
-std::string write_plan(Plan const& p) {
+std::string write_plan(Bounds const& p) {
   std::string s;
-  for (PlanField const& f : plan_fields)
+  for (BoundsField const& f : kBoundsFields)
     s += (s.empty() ? "" : " ") + std::string(f.name) + "=" + std::to_string(p.*f.at);
   return s;
 }
@@ -191,12 +195,13 @@
   } catch (std::exception const&) {
     end = 0;
   }
-  if (s.empty() || end != s.size() || x > most) throw BadTrace(what + ": wants a number up to " + std::to_string(most));
+  if (s.empty() || end != s.size() || x > most)
+    throw TraceError(what + ": wants a number up to " + std::to_string(most));
   return x;
 }
 }  // namespace
 
-Plan read_plan(std::string const& text, Plan p) {
+Bounds read_plan(std::string const& text, Bounds p) {
   std::string t = text;
   std::replace(t.begin(), t.end(), ',', ' ');
   std::istringstream in(t);
@@ -204,20 +209,20 @@
     auto const eq = w.find('=');
     std::string const name = w.substr(0, eq);
     auto const f =
-        std::find_if(plan_fields.begin(), plan_fields.end(), [&](PlanField const& x) { return name == x.name; });
-    if (eq == std::string::npos || f == plan_fields.end()) throw BadTrace("plan: no such bound: " + w);
+        std::find_if(kBoundsFields.begin(), kBoundsFields.end(), [&](BoundsField const& x) { return name == x.name; });
+    if (eq == std::string::npos || f == kBoundsFields.end()) throw TraceError("plan: no such bound: " + w);
     p.*f->at = static_cast<u32>(number(w.substr(eq + 1), "plan: " + name, 1000000));
   }
-  if (p.nodes < 2 || p.nodes + p.spares > 8) throw BadTrace("plan: wants 2 founders at least, 8 nodes at most");
-  if (p.proposers < 1 || p.proposers > 8) throw BadTrace("plan: wants 1 to 8 proposers");
+  if (p.nodes < 2 || p.nodes + p.spares > 8) throw TraceError("plan: wants 2 founders at least, 8 nodes at most");
+  if (p.proposers < 1 || p.proposers > 8) throw TraceError("plan: wants 1 to 8 proposers");
   return p;
 }
 
-std::string write_trace(Recorded const& r) {
+std::string write_trace(RecordedTrace const& r) {
   std::ostringstream o;
-  o << "model " << r.of->model << "\nfault " << r.of->fault << "\nplan " << write_plan(r.plan) << "\nseed " << r.seed
-    << "\nbreach " << r.breach << "\n";
-  Played const p = r.of->play(r.plan, r.trace);
+  o << "model " << r.of->model << "\nfault " << r.of->error_response << "\nplan " << write_plan(r.plan) << "\nseed "
+    << r.seed << "\nbreach " << r.breach << "\n";
+  Replay const p = r.of->play(r.plan, r.trace);
   for (std::size_t i = 0; i < r.trace.size(); ++i) {
     Action const& a = r.trace[i];
     o << "step " << r.of->words.at(a.what) << " " << int{a.a} << " " << int{a.b} << " " << int{a.c} << " " << a.m;
@@ -227,9 +232,9 @@
   return o.str();
 }
 
-Recorded read_trace(std::string const& text) {
-  Recorded r;
-  std::string model, fault;
+RecordedTrace read_trace(std::string const& text) {
+  RecordedTrace r;
+  std::string model, error_response;
   std::istringstream in(text);
   int n = 0;
   for (std::string line; std::getline(in, line);) {
@@ -243,22 +248,22 @@
     if (word == "model")
       model = rest;
     else if (word == "fault")
-      fault = rest;
+      error_response = rest;
     else if (word == "seed")
       r.seed = number(rest, at, ~0ULL);
     else if (word == "breach")
       r.breach = rest;
     else if (word == "plan")
-      r.plan = read_plan(rest, Plan{});
+      r.plan = read_plan(rest, Bounds{});
     else if (word == "step") {
-      r.of = r.of == nullptr ? find(model, fault) : r.of;
-      if (r.of == nullptr) throw BadTrace(at + ": no such model and fault before the first step");
+      r.of = r.of == nullptr ? find(model, error_response) : r.of;
+      if (r.of == nullptr) throw TraceError(at + ": no such model and fault before the first step");
       std::istringstream s(rest);
       std::string what, a, b, c, m, more;
       s >> what >> a >> b >> c >> m;
       auto const w = std::find(r.of->words.begin(), r.of->words.end(), what);
-      if (w == r.of->words.end()) throw BadTrace(at + ": no such step: " + what);
-      if (s >> more) throw BadTrace(at + ": too many words");
+      if (w == r.of->words.end()) throw TraceError(at + ": no such step: " + what);
+      if (s >> more) throw TraceError(at + ": too many words");
       Action x;
       x.what = static_cast<u8>(w - r.of->words.begin());
       x.a = static_cast<u8>(number(a, at, 255));
@@ -267,12 +272,12 @@
       x.m = number(m, at, ~0ULL);
       r.trace.push_back(x);
     } else {
-      throw BadTrace(at + ": unknown word: " + word);
+      throw TraceError(at + ": unknown word: " + word);
     }
   }
-  if (r.of == nullptr) r.of = find(model, fault);
-  if (r.of == nullptr) throw BadTrace("names no known model and fault");
+  if (r.of == nullptr) r.of = find(model, error_response);
+  if (r.of == nullptr) throw TraceError("names no known model and fault");
   return r;
 }
 
-}  // namespace dockbend::collation
+}  // namespace dockbend::model_checking
--- a/packages/operator_commands/include/operator_commands/operator_commands.hpp
+++ b/packages/operator_commands/include/operator_commands/operator_commands.hpp
@@ -15,7 +15,7 @@
 
 namespace dockbend {
 
-enum class Ruling : u8 {
+enum class CommandStatus : u8 {
   taken = 1,     // in force, or overtaken by something newer
   invalid = 2,   // it names what nobody set
   unknown = 3,   // what it is about is not there
@@ -24,8 +24,8 @@
 };
 
 // What an order came to, judged on one value.
-struct Outcome {
-  Ruling ruling = Ruling::unsettled;
+struct CommandResult {
+  CommandStatus ruling = CommandStatus::unsettled;
   bool changed = false;  // the value
   std::string what;      // one line: why not
   u64 id = 0;            // of the pass that it made or is about
@@ -34,13 +34,13 @@
 // The one place that turns an outcome into a status. A 4xx is final for the caller, so
 // only what a majority holds may lead to one; a 503 promises that nothing was done, so what
 // may yet stand is never answered with it.
-int status_of(Ruling v);
-Outcome unsettled(std::string why);
+int status_of(CommandStatus v);
+CommandResult unsettled(std::string why);
 
 // An order by value; apply() changes the value or leaves it as it was, never half.
 template <class O>
-concept Accession = std::copy_constructible<O> && requires(O const& o, State& s) {
-  { o.apply(s) } -> std::same_as<Outcome>;
+concept OperatorCommand = std::copy_constructible<O> && requires(O const& o, ReplicatedState& s) {
+  { o.apply(s) } -> std::same_as<CommandResult>;
 };
 
 // A call may wait, cut off, while its caller asks another node, is answered, and goes on. So
@@ -50,25 +50,25 @@
 // turned on, the subject is left as it is: whoever still waits is told to send it again.
 
 // Items carry generations: sent again they meet themselves, late they meet something newer.
-class Amend {
+class AmendConfiguration {
  public:
-  Amend(Amendment a, State const* known);
-  Outcome apply(State& s) const;
-  Amendment const& asked() const { return a_; }
+  AmendConfiguration(ConfigChange a, ReplicatedState const* known);
+  CommandResult apply(ReplicatedState& s) const;
+  ConfigChange const& asked() const { return a_; }
 
  private:
-  Gen known(std::string const& key) const;
-  bool may_be_refused(std::map<std::string, Item> const& joined) const;
-  Amendment a_;
-  std::unordered_map<std::string, Gen> known_;  // of its items and the services they name
+  Generation known(std::string const& key) const;
+  bool may_be_refused(std::map<std::string, ConfigItem> const& joined) const;
+  ConfigChange a_;
+  std::unordered_map<std::string, Generation> known_;  // of its items and the services they name
 };
 
 // Evacuations carry no number: the counter of a zone rises with each change.
-class Evacuate {
+class SetEvacuation {
  public:
   // here: the settings name the zone.
-  Evacuate(std::string zone, bool on, State const* known, bool here = true);
-  Outcome apply(State& s) const;
+  SetEvacuation(std::string zone, bool on, ReplicatedState const* known, bool here = true);
+  CommandResult apply(ReplicatedState& s) const;
 
  private:
   std::string zone_;
@@ -76,47 +76,47 @@
   u64 since_;
 };
 
-class StartPass {
+class StartDrain {
  public:
-  StartPass(Order o, State const* known);
-  Outcome apply(State& s) const;
+  StartDrain(DrainOrder o, ReplicatedState const* known);
+  CommandResult apply(ReplicatedState& s) const;
 
  private:
-  Order o_;
+  DrainOrder o_;
   std::vector<std::pair<u64, bool>> known_;  // passes, and which of them are over
 };
 
 // Commands carry no number either: a pass's turn rises with each pause and resume.
-class CommandPass {
+class ControlDrain {
  public:
-  CommandPass(u64 id, PassOrder o, std::string unit, State const* known);
-  Outcome apply(State& s) const;
+  ControlDrain(u64 id, DrainCommand o, std::string unit, ReplicatedState const* known);
+  CommandResult apply(ReplicatedState& s) const;
 
  private:
   u64 id_;
-  PassOrder o_;
+  DrainCommand o_;
   std::string unit_;
   std::optional<u32> since_;  // none: the pass was not known
 };
 
 // Asks nothing of the value: it says whether the duty is where it was ordered to.
-struct HandOver {
+struct HandOverLease {
   std::string duty, node;
-  Outcome apply(State& s) const { return judge(s); }
-  Outcome judge(State const& s) const;
+  CommandResult apply(ReplicatedState& s) const { return judge(s); }
+  CommandResult judge(ReplicatedState const& s) const;
 };
 
 // Carries an order to the register and its outcome back. Submit is the node's way to the
 // register: (change, done, patience); done gets null if the change is not known to stand.
-template <Accession O, class Submit>
-void carry(Submit const& submit, O o, Secs patience, std::function<void(Outcome const&)> done) {
-  auto const got = std::make_shared<Outcome>();
+template <OperatorCommand O, class Submit>
+void carry(Submit const& submit, O o, Seconds patience, std::function<void(CommandResult const&)> done) {
+  auto const got = std::make_shared<CommandResult>();
   submit(
-      [o = std::move(o), got](State& s) {
+      [o = std::move(o), got](ReplicatedState& s) {
         *got = o.apply(s);  // as a whole: nothing of an earlier round's outcome stays
         return got->changed;
       },
-      [got, done = std::move(done)](State const* s) {
+      [got, done = std::move(done)](ReplicatedState const* s) {
         done(s == nullptr ? unsettled("no majority in time; it may yet stand") : *got);
       },
       patience);
--- a/packages/operator_commands/operator_commands.cpp
+++ b/packages/operator_commands/operator_commands.cpp
@@ -4,63 +4,63 @@
 
 namespace dockbend {
 namespace {
-Outcome taken(bool changed, u64 id = 0) {
-  return Outcome{Ruling::taken, changed, "", id};
+CommandResult taken(bool changed, u64 id = 0) {
+  return CommandResult{CommandStatus::taken, changed, "", id};
 }
-Outcome refused(Ruling v, std::string why) {
-  return Outcome{v, false, std::move(why), 0};
+CommandResult refused(CommandStatus v, std::string why) {
+  return CommandResult{v, false, std::move(why), 0};
 }
-Ruling ruling_of(OrderFault const& e) {
-  return e.code == 404 ? Ruling::unknown : e.code == 409 ? Ruling::clash : Ruling::invalid;
+CommandStatus ruling_of(DrainOrderError const& e) {
+  return e.code == 404 ? CommandStatus::unknown : e.code == 409 ? CommandStatus::clash : CommandStatus::invalid;
 }
-u32 bit(PassOrder o) {
+u32 bit(DrainCommand o) {
   return 1u << static_cast<u32>(o);
 }
 }  // namespace
 
-int status_of(Ruling v) {
+int status_of(CommandStatus v) {
   switch (v) {
-    case Ruling::taken: return 200;
-    case Ruling::invalid: return 400;
-    case Ruling::unknown: return 404;
-    case Ruling::clash: return 409;
-    case Ruling::unsettled: return 504;
+    case CommandStatus::taken: return 200;
+    case CommandStatus::invalid: return 400;
+    case CommandStatus::unknown: return 404;
+    case CommandStatus::clash: return 409;
+    case CommandStatus::unsettled: return 504;
   }
   return 504;
 }
 
-Outcome unsettled(std::string why) {
-  return refused(Ruling::unsettled, std::move(why));
+CommandResult unsettled(std::string why) {
+  return refused(CommandStatus::unsettled, std::move(why));
 }
 
-Amend::Amend(Amendment a, State const* known) : a_(std::move(a)) {
+AmendConfiguration::AmendConfiguration(ConfigChange a, ReplicatedState const* known) : a_(std::move(a)) {
   if (known == nullptr || known->items.empty()) return;
-  for (Item const& i : a_.items)
-    known_.emplace(i.key, Gen());
-  for (Need const& n : a_.needs)
-    known_.emplace("s/" + n.service, Gen());
-  for (Item const& i : known->items)
+  for (ConfigItem const& i : a_.items)
+    known_.emplace(i.key, Generation());
+  for (ServiceReference const& n : a_.needs)
+    known_.emplace("s/" + n.service, Generation());
+  for (ConfigItem const& i : known->items)
     if (auto const it = known_.find(i.key); it != known_.end()) it->second = i.gen;
 }
 
-Gen Amend::known(std::string const& key) const {
+Generation AmendConfiguration::known(std::string const& key) const {
   auto const it = known_.find(key);
-  return it == known_.end() ? Gen() : it->second;
+  return it == known_.end() ? Generation() : it->second;
 }
 
 // Could the call have been refused at some moment since it came in, though it is allowed now
 // (`joined`: what stands with it)? One of its items then stood with another body, and has
 // been overtaken; or a service that it names was not there, and has been set.
-bool Amend::may_be_refused(std::map<std::string, Item> const& joined) const {
-  for (Item const& i : a_.items)
+bool AmendConfiguration::may_be_refused(std::map<std::string, ConfigItem> const& joined) const {
+  for (ConfigItem const& i : a_.items)
     if (joined.at(i.key).gen > i.gen && known(i.key) <= i.gen) return true;
-  std::unordered_map<std::string_view, Gen> own;
+  std::unordered_map<std::string_view, Generation> own;
   if (!a_.needs.empty())
-    for (Item const& i : a_.items)
+    for (ConfigItem const& i : a_.items)
       own.emplace(i.key, i.gen);
-  for (Need const& n : a_.needs) {
+  for (ServiceReference const& n : a_.needs) {
     std::string const k = "s/" + n.service;
-    Gen const stands = joined.at(k).gen;
+    Generation const stands = joined.at(k).gen;
     auto const it = own.find(k);
     bool const brings_it = it != own.end() && it->second >= stands;
     if (!brings_it && stands != known(k)) return true;
@@ -68,14 +68,15 @@
   return false;
 }
 
-Outcome Amend::apply(State& s) const {
+CommandResult AmendConfiguration::apply(ReplicatedState& s) const {
   auto items = s.by_key();
   std::string field;
   switch (join(items, a_, field)) {
-    case Joined::same: return taken(false);
-    case Joined::clash: return refused(Ruling::clash, field + ": another body stands under this generation");
-    case Joined::unknown_service: return refused(Ruling::invalid, field + ": unknown service");
-    case Joined::changed: break;
+    case MergeResult::same: return taken(false);
+    case MergeResult::clash:
+      return refused(CommandStatus::clash, field + ": another body stands under this generation");
+    case MergeResult::unknown_service: return refused(CommandStatus::invalid, field + ": unknown service");
+    case MergeResult::changed: break;
   }
   if (may_be_refused(items)) return unsettled("other changes came between");
   s.items.clear();
@@ -87,34 +88,34 @@
 namespace {
 template <class S>
 auto evac_of(S& s, std::string const& zone) {
-  return std::find_if(s.evacs.begin(), s.evacs.end(), [&](Evac const& e) { return e.zone == zone; });
+  return std::find_if(s.evacuations.begin(), s.evacuations.end(), [&](Evacuation const& e) { return e.zone == zone; });
 }
-u64 counter_of(State const& s, std::string const& zone) {
+u64 counter_of(ReplicatedState const& s, std::string const& zone) {
   auto const it = evac_of(s, zone);
-  return it == s.evacs.end() ? 0 : it->counter;
+  return it == s.evacuations.end() ? 0 : it->counter;
 }
-std::vector<std::pair<u64, bool>> passes_of(State const& s) {
+std::vector<std::pair<u64, bool>> passes_of(ReplicatedState const& s) {
   std::vector<std::pair<u64, bool>> v;
-  for (Pass const& p : s.passes)
+  for (DrainRun const& p : s.passes)
     v.emplace_back(p.id, is_over(p.state));
   return v;
 }
 }  // namespace
 
-Evacuate::Evacuate(std::string zone, bool on, State const* known, bool here)
+SetEvacuation::SetEvacuation(std::string zone, bool on, ReplicatedState const* known, bool here)
     : zone_(std::move(zone)), on_(on), here_(here), since_(known == nullptr ? 0 : counter_of(*known, zone_)) {}
 
-Outcome Evacuate::apply(State& s) const {
+CommandResult SetEvacuation::apply(ReplicatedState& s) const {
   auto const it = evac_of(s, zone_);
-  if (it == s.evacs.end() && !here_) return refused(Ruling::unknown, "no such zone");
-  if ((it != s.evacs.end() && it->on) == on_) return taken(false);
+  if (it == s.evacuations.end() && !here_) return refused(CommandStatus::unknown, "no such zone");
+  if ((it != s.evacuations.end() && it->on) == on_) return taken(false);
   if (counter_of(s, zone_) > since_) return unsettled("another order came between");
-  if (it == s.evacs.end()) {
-    Evac e;
+  if (it == s.evacuations.end()) {
+    Evacuation e;
     e.zone = zone_;
     e.counter = 1;
     e.on = true;
-    s.evacs.push_back(std::move(e));
+    s.evacuations.push_back(std::move(e));
   } else {
     it->on = on_;
     ++it->counter;
@@ -122,18 +123,18 @@
   return taken(true);
 }
 
-StartPass::StartPass(Order o, State const* known) : o_(std::move(o)) {
+StartDrain::StartDrain(DrainOrder o, ReplicatedState const* known) : o_(std::move(o)) {
   if (known != nullptr) known_ = passes_of(*known);
 }
 
-Outcome StartPass::apply(State& s) const {
+CommandResult StartDrain::apply(ReplicatedState& s) const {
   u64 id = 0;
-  State t;
+  ReplicatedState t;
   t.passes = s.passes;
   t.units = s.units;
   try {
     if (!start(t, o_, id)) return taken(false, id);
-  } catch (OrderFault const& e) {
+  } catch (DrainOrderError const& e) {
     return refused(ruling_of(e), e.what());
   }
   // What stood in its way may have ended meanwhile.
@@ -143,17 +144,17 @@
   return taken(true, id);
 }
 
-CommandPass::CommandPass(u64 id, PassOrder o, std::string unit, State const* known)
+ControlDrain::ControlDrain(u64 id, DrainCommand o, std::string unit, ReplicatedState const* known)
     : id_(id), o_(o), unit_(std::move(unit)) {
-  if (Pass const* p = known == nullptr ? nullptr : known->pass(id); p != nullptr) since_ = p->turn;
+  if (DrainRun const* p = known == nullptr ? nullptr : known->pass(id); p != nullptr) since_ = p->turn;
 }
 
-Outcome CommandPass::apply(State& s) const {
-  auto const p = std::find_if(s.passes.begin(), s.passes.end(), [&](Pass const& x) { return x.id == id_; });
-  if (p == s.passes.end()) return refused(Ruling::unknown, "no such pass: " + std::to_string(id_));
-  bool const over = is_over(p->state), turns = o_ == PassOrder::pause || o_ == PassOrder::resume;
+CommandResult ControlDrain::apply(ReplicatedState& s) const {
+  auto const p = std::find_if(s.passes.begin(), s.passes.end(), [&](DrainRun const& x) { return x.id == id_; });
+  if (p == s.passes.end()) return refused(CommandStatus::unknown, "no such pass: " + std::to_string(id_));
+  bool const over = is_over(p->state), turns = o_ == DrainCommand::pause || o_ == DrainCommand::resume;
   if (over && (p->heard & bit(o_)) != 0) return taken(false, id_);
-  bool const so = p->state == (o_ == PassOrder::pause ? PassState::paused : PassState::running);
+  bool const so = p->state == (o_ == DrainCommand::pause ? DrainRunState::paused : DrainRunState::running);
   if (!over && (!since_ || (turns && !so && p->turn > *since_))) return unsettled("another order came between");
   try {
     bool const changed = command(s, id_, o_, unit_);
@@ -161,13 +162,13 @@
     p->heard |= bit(o_);
     if (changed && turns) ++p->turn;
     return taken(changed || first, id_);
-  } catch (OrderFault const& e) {
+  } catch (DrainOrderError const& e) {
     return refused(ruling_of(e), e.what());
   }
 }
 
-Outcome HandOver::judge(State const& s) const {
-  Term const* t = s.term(duty);
+CommandResult HandOverLease::judge(ReplicatedState const& s) const {
+  Lease const* t = s.term(duty);
   if (t == nullptr) return unsettled("nobody has the duty yet");
   if (t->next == node || (t->holder == node && t->next.empty())) return taken(false);
   return unsettled("not handed over yet");
--- a/packages/planning/drain_orders.cpp
+++ b/packages/planning/drain_orders.cpp
@@ -11,9 +11,9 @@
   std::set<std::string> seen;
   for (std::string const& n : names) {
     std::vector<std::string> const v = match(n);
-    if (v.empty()) throw OrderFault(404, std::string("no such ") + what + ": " + n);
+    if (v.empty()) throw DrainOrderError(404, std::string("no such ") + what + ": " + n);
     for (std::string const& x : v) {
-      if (!seen.insert(x).second) throw OrderFault(400, x + ": named twice");
+      if (!seen.insert(x).second) throw DrainOrderError(400, x + ": named twice");
       out.push_back(x);
     }
   }
@@ -21,38 +21,38 @@
 }
 }  // namespace
 
-std::vector<std::string> nodes_named(Capture const& c, std::vector<std::string> const& names) {
+std::vector<std::string> nodes_named(FleetSnapshot const& c, std::vector<std::string> const& names) {
   return named(names, "node, zone or region", [&](std::string const& n) {
     std::vector<std::string> v;
-    for (CapSite const& s : c.sites)
+    for (ProxySnapshot const& s : c.sites)
       if (s.front == n || s.node == n || s.zone == n || s.region == n) v.push_back(s.front);
     std::sort(v.begin(), v.end());
     return v;
   });
 }
 
-std::vector<std::string> servers_named(Capture const& c, std::vector<std::string> const& names) {
+std::vector<std::string> servers_named(FleetSnapshot const& c, std::vector<std::string> const& names) {
   return named(names, "server, service, generation or zone", [&](std::string const& n) {
     std::vector<std::string> v;
-    for (CapServer const& s : c.servers)
+    for (ServerSnapshot const& s : c.servers)
       if (s.id == n || s.service == n || s.generation == n || s.zone == n) v.push_back(s.id);
     std::sort(v.begin(), v.end());
     return v;
   });
 }
 
-Order node_order(Capture const& c, WavePlan const& p, u64 id, double headroom, double patience) {
+DrainOrder node_order(FleetSnapshot const& c, DrainWavePlan const& p, u64 id, double headroom, double patience) {
   std::map<std::string, std::string> node;
-  for (CapSite const& s : c.sites)
+  for (ProxySnapshot const& s : c.sites)
     node[s.front] = s.node;
-  Order o;
+  DrainOrder o;
   o.id = std::to_string(id);
   o.headroom = headroom;
   o.patienceS = patience;
   u32 n = 0;
-  for (Wave const& w : p.waves) {
+  for (DrainWave const& w : p.waves) {
     for (std::string const& f : w.fronts) {
-      OrderUnit u;
+      DrainOrderUnit u;
       u.name = f;
       u.node = node[f];
       u.wave = n;
@@ -63,7 +63,7 @@
   return o;
 }
 
-RotationPlan plan_rotation(Capture const& c, std::vector<std::string> const& ids, u32 max_unavailable,
+RotationPlan plan_rotation(FleetSnapshot const& c, std::vector<std::string> const& ids, u32 max_unavailable,
                            double headroom) {
   RotationPlan p;
   p.takenAt = c.takenAt;
@@ -71,11 +71,11 @@
   p.headroom = headroom;
   p.partial = !c.silent.empty() || !c.settled;
   std::map<std::string, std::string> region;
-  for (CapZone const& z : c.zones)
+  for (ZoneSnapshot const& z : c.zones)
     region[z.zone] = z.region;
-  std::map<std::string, SeenServer> all;
-  for (CapServer const& s : c.servers) {
-    SeenServer x;
+  std::map<std::string, ServerObservation> all;
+  for (ServerSnapshot const& s : c.servers) {
+    ServerObservation x;
     x.id = s.id;
     x.service = s.service;
     x.zone = s.zone;
@@ -86,17 +86,18 @@
     x.told = !p.partial;
     all[s.id] = std::move(x);
   }
-  for (Survey const& v : c.surveys)
-    for (Held const& h : v.held)
+  for (TrafficSurvey const& v : c.surveys)
+    for (OpenWork const& h : v.held)
       if (auto const it = all.find(h.id); it != all.end()) it->second.held.add(h);
-  std::vector<SeenServer const*> order;
+  std::vector<ServerObservation const*> order;
   for (std::string const& id : ids)
     order.push_back(&all[id]);
-  std::sort(order.begin(), order.end(), [](SeenServer const* a, SeenServer const* b) { return leaves_before(*a, *b); });
+  std::sort(order.begin(), order.end(),
+            [](ServerObservation const* a, ServerObservation const* b) { return leaves_before(*a, *b); });
   std::map<std::string, u32> taken;
   std::set<std::string> out;
-  for (SeenServer const* s : order) {
-    Leaving l;
+  for (ServerObservation const* s : order) {
+    ServerDeparture l;
     l.id = s->id;
     l.service = s->service;
     l.zone = s->zone;
@@ -107,20 +108,20 @@
     p.order.push_back(std::move(l));
     if (taken[s->service]++ < max_unavailable) out.insert(s->id);
   }
-  p.worst = forecast(c, {}, ForecastPlan{}, out);
+  p.worst = forecast(c, {}, ForecastOptions{}, out);
   p.fits = p.worst.fits;
   std::map<std::pair<std::string, std::string>, std::pair<double, double>> by;  // (service, region): slots, used
   std::set<std::string> touched;
   for (std::string const& id : out)
     touched.insert(all[id].service);
-  for (ZoneLoad const& z : p.worst.loads) {
+  for (ZoneUtilization const& z : p.worst.loads) {
     auto& [slots, used] = by[{z.service, region[z.zone]}];
     slots += z.slots;
     used += z.usedAfter;
   }
   for (auto const& [k, v] : by) {
     if (touched.count(k.first) == 0 || v.second <= (1 - headroom) * v.first) continue;
-    Lack l;
+    CapacityShortfall l;
     l.region = k.second;
     l.kind = k.first;
     l.load = v.first > 0 ? v.second / v.first : 1;
@@ -132,8 +133,8 @@
   return p;
 }
 
-Order server_order(Capture const& c, RotationPlan const& p, u64 id, double patience, bool replaced) {
-  Order o;
+DrainOrder server_order(FleetSnapshot const& c, RotationPlan const& p, u64 id, double patience, bool replaced) {
+  DrainOrder o;
   o.id = std::to_string(id);
   o.servers = true;
   o.headroom = p.headroom;
@@ -142,17 +143,17 @@
   o.replaced = replaced;
   std::map<std::string, u32> had;
   std::set<std::string> services;
-  for (Leaving const& l : p.order) {
-    OrderUnit u;
+  for (ServerDeparture const& l : p.order) {
+    DrainOrderUnit u;
     u.name = l.id;
     u.node = l.service;
     o.units.push_back(std::move(u));
     services.insert(l.service);
   }
-  for (CapServer const& s : c.servers)
+  for (ServerSnapshot const& s : c.servers)
     had[s.service] += s.ready ? 1 : 0;
   for (std::string const& s : services) {
-    Had h;
+    InitialServerCount h;
     h.service = s;
     h.n = had[s];
     o.had.push_back(std::move(h));
--- a/packages/planning/drain_waves.cpp
+++ b/packages/planning/drain_waves.cpp
@@ -9,57 +9,57 @@
 namespace {
 int const draws = 300;  // lists drawn for a zone: a share is then known to a few hundredths
 
-std::string kind_of(Capture const& c, std::string const& lane) {
-  for (CapLane const& l : c.lanes)
-    if (l.name == lane) return l.kind;
+std::string kind_of(FleetSnapshot const& c, std::string const& route) {
+  for (RouteSnapshot const& l : c.routes)
+    if (l.name == route) return l.kind;
   return "unknown";
 }
 
 struct Before {
-  std::map<std::string, CapSite const*> sites;                 // by front
+  std::map<std::string, ProxySnapshot const*> sites;           // by front
   std::map<std::string, std::map<std::string, double>> kinds;  // front -> kind -> rate
-  explicit Before(Capture const& c) {
-    for (CapSite const& s : c.sites)
+  explicit Before(FleetSnapshot const& c) {
+    for (ProxySnapshot const& s : c.sites)
       sites[s.front] = &s;
-    for (Survey const& v : c.surveys)
-      for (LaneRate const& l : v.lanes)
-        kinds[v.front][kind_of(c, l.lane)] += l.rate;
+    for (TrafficSurvey const& v : c.surveys)
+      for (RouteRate const& l : v.routes)
+        kinds[v.front][kind_of(c, l.route)] += l.rate;
   }
 };
 
 // Shares of a zone's clients over the sites left, as the selector would send them; loads
 // are as the directory would see them.
-std::map<std::string, double> shares(std::vector<Site> const& left, CapSite const& from) {
+std::map<std::string, double> shares(std::vector<ProxyEntry> const& left, ProxySnapshot const& from) {
   std::map<std::string, double> m;
-  std::vector<Site const*> table;
-  for (Site const& s : left)
+  std::vector<ProxyEntry const*> table;
+  for (ProxyEntry const& s : left)
     if (s.ready) table.push_back(&s);
-  NearSelector const sel;
-  Consumer who;
+  NearestSelector const sel;
+  ClientContext who;
   who.zone = from.zone;
   who.region = from.region;
   for (int i = 0; i < draws; ++i) {
     auto const l = sel.choose(table, who);
-    for (Site const* s : l)
+    for (ProxyEntry const* s : l)
       m[s->front] += 1.0 / static_cast<double>(l.size()) / draws;
   }
   return m;
 }
 }  // namespace
 
-Wave moved(Capture const& c, std::set<std::string> const& out) {
+DrainWave moved(FleetSnapshot const& c, std::set<std::string> const& out) {
   Before const b(c);
   std::map<std::string, double> load;
   std::map<std::string, std::map<std::string, double>> kinds = b.kinds;
-  std::map<std::string, std::vector<CapSite const*>> leaving;  // by zone
-  std::vector<Site> left;
-  for (CapSite const& s : c.sites) {
+  std::map<std::string, std::vector<ProxySnapshot const*>> leaving;  // by zone
+  std::vector<ProxyEntry> left;
+  for (ProxySnapshot const& s : c.sites) {
     if (out.count(s.front) > 0) {
       leaving[s.zone].push_back(&s);
       kinds.erase(s.front);
       continue;
     }
-    Site x;
+    ProxyEntry x;
     x.front = s.front;
     x.zone = s.zone;
     x.region = s.region;
@@ -73,27 +73,27 @@
   for (int k = 0; k < steps; ++k)
     for (auto const& [zone, l] : leaving) {
       auto const to = shares(left, *l.front());
-      for (CapSite const* s : l)
+      for (ProxySnapshot const* s : l)
         for (auto const& [front, part] : to) {
           load[front] += s->load * part / steps;
           if (auto const it = b.kinds.find(s->front); it != b.kinds.end())
             for (auto const& [kind, r] : it->second)
               kinds[front][kind] += r * part / steps;
         }
-      for (Site& x : left)
+      for (ProxyEntry& x : left)
         x.load = load[x.front];
     }
-  Wave w;
+  DrainWave w;
   w.fronts.assign(out.begin(), out.end());
   for (std::string const& f : out) {
     auto const it = b.sites.find(f);
     w.nodes.push_back(it == b.sites.end() || it->second->node.empty() ? f : it->second->node);
   }
-  std::map<std::string, RegionAfter> regions;
+  std::map<std::string, RegionForecast> regions;
   std::map<std::string, u32> before;
   std::map<std::pair<std::string, std::string>, KindRate> rates;
-  for (CapSite const& s : c.sites) {
-    RegionAfter& r = regions[s.region];
+  for (ProxySnapshot const& s : c.sites) {
+    RegionForecast& r = regions[s.region];
     r.region = s.region;
     r.now += s.load;
     before[s.region] += s.ready ? 1 : 0;
@@ -121,22 +121,22 @@
 }
 
 namespace {
-bool fits(Wave const& w, double headroom, std::set<std::string> const& touched) {
-  return std::all_of(w.regions.begin(), w.regions.end(), [&](RegionAfter const& r) {
+bool fits(DrainWave const& w, double headroom, std::set<std::string> const& touched) {
+  return std::all_of(w.regions.begin(), w.regions.end(), [&](RegionForecast const& r) {
     if (touched.count(r.region) == 0 && r.load <= r.now + 0.02) return true;  // not this wave's doing
     return r.nodes > 0 && r.load <= 1 - headroom && r.peak <= std::max(1.0, 1 - headroom / 2);
   });
 }
 
 // Which kinds find no place once the more important ones have theirs.
-void lacks_of(Capture const& c, Wave const& w, double headroom, std::set<std::string> const& touched,
-              std::vector<Lack>& out) {
+void lacks_of(FleetSnapshot const& c, DrainWave const& w, double headroom, std::set<std::string> const& touched,
+              std::vector<CapacityShortfall>& out) {
   std::map<std::string, u32> rank;
-  for (CapLane const& l : c.lanes) {
+  for (RouteSnapshot const& l : c.routes) {
     auto const [it, fresh] = rank.try_emplace(l.kind, l.rank);
     if (!fresh) it->second = std::min(it->second, l.rank);
   }
-  for (RegionAfter const& r : w.regions) {
+  for (RegionForecast const& r : w.regions) {
     if (touched.count(r.region) == 0 || (r.nodes > 0 && r.load <= 1 - headroom)) continue;
     std::vector<KindRate const*> kinds;
     double sum = 0;
@@ -155,7 +155,7 @@
       double const over = std::min(x, taken + x - bears);
       taken += x;
       if (over <= 1e-9) continue;
-      Lack l;
+      CapacityShortfall l;
       l.region = r.region;
       l.kind = k->kind;
       l.rate = over;
@@ -165,7 +165,7 @@
       any = true;
     }
     if (any) continue;
-    Lack l;
+    CapacityShortfall l;
     l.region = r.region;
     l.kind = "all";
     l.load = r.load;
@@ -175,15 +175,15 @@
 }
 }  // namespace
 
-WavePlan plan_waves(Capture const& c, std::vector<std::string> const& fronts, double headroom) {
-  WavePlan p;
+DrainWavePlan plan_waves(FleetSnapshot const& c, std::vector<std::string> const& fronts, double headroom) {
+  DrainWavePlan p;
   p.takenAt = c.takenAt;
   p.headroom = headroom;
   p.silent = c.silent;
   p.partial = !c.silent.empty() || !c.settled;
   p.fits = true;
   Before const b(c);
-  std::map<std::string, std::vector<CapSite const*>> todo;  // by region, the least busy first
+  std::map<std::string, std::vector<ProxySnapshot const*>> todo;  // by region, the least busy first
   std::set<std::string> dark;
   for (std::string const& f : fronts) {
     auto const it = b.sites.find(f);
@@ -193,7 +193,7 @@
       todo[it->second->region].push_back(it->second);
   }
   for (auto& [g, v] : todo)
-    std::sort(v.begin(), v.end(), [](CapSite const* x, CapSite const* y) { return x->load < y->load; });
+    std::sort(v.begin(), v.end(), [](ProxySnapshot const* x, ProxySnapshot const* y) { return x->load < y->load; });
   bool first = true;
   while (first || std::any_of(todo.begin(), todo.end(), [](auto const& x) { return !x.second.empty(); })) {
     std::map<std::string, std::size_t> take;
@@ -201,7 +201,7 @@
       // A first guess from the region's sum; the play below has the last word.
       double sum = 0;
       std::size_t n = 0;
-      for (CapSite const& s : c.sites)
+      for (ProxySnapshot const& s : c.sites)
         if (s.region == g && s.ready) {
           sum += s.load;
           ++n;
@@ -212,7 +212,7 @@
       if (take[g] == 0 && !v.empty()) take[g] = 1;
     }
     std::set<std::string> out, touched;
-    Wave w;
+    DrainWave w;
     while (true) {
       out = first ? dark : std::set<std::string>();
       touched.clear();
--- a/packages/planning/forecast.cpp
+++ b/packages/planning/forecast.cpp
@@ -15,11 +15,12 @@
 // at a server, in a server's queue, done, unserved.
 class Play {
  public:
-  Play(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p, std::set<std::string> const& out)
+  Play(FleetSnapshot const& c, std::set<std::string> const& gone, ForecastOptions const& p,
+       std::set<std::string> const& out)
       : c_(c), p_(p), gone_(gone), out_(out), rnd_(p.seed * 2654435761u + 7) {
     double total = 0;
-    for (Survey const& s : c.surveys)
-      for (LaneRate const& l : s.lanes)
+    for (TrafficSurvey const& s : c.surveys)
+      for (RouteRate const& l : s.routes)
         total += l.rate;
     double const scale =
         total <= 0 ? 1 : std::min(1.0, static_cast<double>(p.most_errands) / (total * (p.seconds + p.warm)));
@@ -29,7 +30,7 @@
       by_id_[c.servers[i].id] = i;
     servers_.resize(c.servers.size());
     speeds();
-    for (Survey const& s : c.surveys)
+    for (TrafficSurvey const& s : c.surveys)
       add_proxy(s);
   }
 
@@ -40,7 +41,7 @@
       if (e.at > until_) break;
       if (e.server < 0) {
         came(e);
-        next_arrival(e.proxy, e.lane, e.at);
+        next_arrival(e.proxy, e.route, e.at);
       } else {
         done(e);
       }
@@ -56,15 +57,15 @@
  private:
   struct Proxy {
     Settings st;
-    std::unique_ptr<Assign> as;
-    Survey const* sv = nullptr;
+    std::unique_ptr<LoadBalancer> as;
+    TrafficSurvey const* sv = nullptr;
   };
   struct Event {
-    Secs at = 0;
-    std::size_t proxy = 0, lane = 0;
+    Seconds at = 0;
+    std::size_t proxy = 0, route = 0;
     int server = -1;  // < 0: an errand comes
-    Secs sent = 0, began = 0;
-    ServerIx ix;
+    Seconds sent = 0, began = 0;
+    ServerIndex ix;
     bool operator<(Event const& o) const { return at > o.at; }
   };
   struct Server {
@@ -78,8 +79,8 @@
   void speeds() {
     std::map<std::string, std::pair<double, double>> pool;
     std::vector<std::pair<double, double>> one(servers_.size()), dev(servers_.size());
-    for (Survey const& s : c_.surveys)
-      for (Speed const& x : s.speeds)
+    for (TrafficSurvey const& s : c_.surveys)
+      for (ServerLatency const& x : s.speeds)
         if (auto const it = by_id_.find(x.id); it != by_id_.end()) {
           one[it->second].first += x.lat;
           one[it->second].second += 1;
@@ -100,7 +101,7 @@
     }
   }
 
-  void add_proxy(Survey const& s) {
+  void add_proxy(TrafficSurvey const& s) {
     auto p = std::make_unique<Proxy>();
     p->sv = &s;
     p->st.ip = "0.0.0.0";
@@ -109,14 +110,14 @@
     p->st.region = s.region;
     p->st.beatPeriodS = c_.beatPeriodS;
     std::map<std::string, u32> sites;
-    for (CapZone const& z : c_.zones) {
+    for (ZoneSnapshot const& z : c_.zones) {
       p->st.zones[z.zone] = z.region;
       sites[z.zone] = z.proxies;
     }
-    p->as = std::make_unique<Assign>(p->st);
-    std::vector<Assign::Seen> rows;
-    for (CapServer const& r : c_.servers) {
-      Assign::Seen x;
+    p->as = std::make_unique<LoadBalancer>(p->st);
+    std::vector<LoadBalancer::Seen> rows;
+    for (ServerSnapshot const& r : c_.servers) {
+      LoadBalancer::Seen x;
       x.id = r.id;
       x.service = r.service;
       x.address = "0.0.0.0:1";
@@ -126,13 +127,13 @@
       x.cold_left = r.coldLeftS;
       rows.push_back(std::move(x));
     }
-    Assign& as = *p->as;
-    for (CapPool const& x : c_.pools)
-      as.rule(as.pool(x.name), PoolRule{static_cast<double>(x.connLimit), x.coldRateS, 0});
+    LoadBalancer& as = *p->as;
+    for (ServiceSnapshot const& x : c_.pools)
+      as.rule(as.pool(x.name), ServiceLimits{static_cast<double>(x.connLimit), x.coldRateS, 0});
     as.table(rows, 0);
     as.sites(sites);
     for (std::size_t i = 0; i < as.targets().size(); ++i) {
-      Target& t = as.at(ServerIx(static_cast<u32>(i)));
+      Endpoint& t = as.at(ServerIndex(static_cast<u32>(i)));
       if (auto const it = by_id_.find(t.id); it != by_id_.end()) {
         t.lat = servers_[it->second].lat;
         t.lat_at = 0;
@@ -140,48 +141,48 @@
       }
     }
     std::set<std::string> out = gone_;
-    for (CapZone const& z : c_.zones)
+    for (ZoneSnapshot const& z : c_.zones)
       if (z.evacuated) out.insert(z.zone);
     as.evacuated(out, 0);
     std::size_t const pi = proxies_.size();
     proxies_.push_back(std::move(p));
-    for (std::size_t i = 0; i < s.lanes.size(); ++i)
+    for (std::size_t i = 0; i < s.routes.size(); ++i)
       next_arrival(pi, i, 0);
   }
 
-  void next_arrival(std::size_t proxy, std::size_t lane, Secs now) {
-    double const rate = proxies_[proxy]->sv->lanes[lane].rate;
+  void next_arrival(std::size_t proxy, std::size_t route, Seconds now) {
+    double const rate = proxies_[proxy]->sv->routes[route].rate;
     if (rate <= 0) return;
     Event e;
     e.at = now - std::log(1.0 - u01()) / rate;
     e.proxy = proxy;
-    e.lane = lane;
+    e.route = route;
     q_.push(e);
   }
 
-  CapLane const* lane_of(std::string const& name) const {
-    for (CapLane const& l : c_.lanes)
+  RouteSnapshot const* lane_of(std::string const& name) const {
+    for (RouteSnapshot const& l : c_.routes)
       if (l.name == name) return &l;
     return nullptr;
   }
 
   void came(Event e) {
     Proxy& p = *proxies_[e.proxy];
-    LaneRate const& l = p.sv->lanes[e.lane];
-    CapLane const* const def = lane_of(l.lane);
+    RouteRate const& l = p.sv->routes[e.route];
+    RouteSnapshot const* const def = lane_of(l.route);
     bool const counts = e.at >= warm_;
-    if (counts) came_total[l.lane] += 1;
-    std::vector<PlaceIx> homes;
-    Wish w;
+    if (counts) came_total[l.route] += 1;
+    std::vector<LocationIndex> homes;
+    EndpointQuery w;
     w.pool = p.as->pool(l.pool);
     for (std::string const& h : l.homes)
       homes.push_back(p.as->region(h));
-    if (def != nullptr) w.setpoint = def->setpointS;
+    if (def != nullptr) w.latency_target = def->setpointS;
     w.homes = &homes;
     w.bulky = u01() < l.bulky;
-    Assign::Choice const ch = p.as->choose(w, e.at);
-    if (!ch.ix || (def != nullptr && make_way(def->rank, ch.est, def->setpointS))) {
-      if (counts) (ch.no == Assign::No::none && !ch.ix ? homeless : unserved)[l.lane] += 1;
+    LoadBalancer::Choice const ch = p.as->choose(w, e.at);
+    if (!ch.ix || (def != nullptr && should_shed(def->rank, ch.est, def->setpointS))) {
+      if (counts) (ch.no == LoadBalancer::No::none && !ch.ix ? homeless : unserved)[l.route] += 1;
       return;
     }
     p.as->took(*ch.ix, e.at);
@@ -189,7 +190,7 @@
     e.server = static_cast<int>(it->second);
     e.ix = *ch.ix;
     e.sent = e.at;
-    if (counts) flows[{c_.servers[it->second].zone, l.lane}] += 1;
+    if (counts) flows[{c_.servers[it->second].zone, l.route}] += 1;
     Server& s = servers_[it->second];
     if (s.busy < c_.servers[it->second].capacity)
       begin(s, e, e.at);
@@ -197,7 +198,7 @@
       s.queue.push_back(e);
   }
 
-  void begin(Server& s, Event e, Secs now) {
+  void begin(Server& s, Event e, Seconds now) {
     ++s.busy;
     e.began = now;
     e.at = now + s.lat * (1 - s.width + 2 * s.width * u01());
@@ -208,7 +209,7 @@
     auto const i = static_cast<std::size_t>(e.server);
     Server& s = servers_[i];
     --s.busy;
-    CapServer const& cs = c_.servers[i];
+    ServerSnapshot const& cs = c_.servers[i];
     busy[{cs.zone, cs.service}] += std::max(0.0, e.at - std::max(e.began, warm_));
     proxies_[e.proxy]->as->gave(e.ix, e.at - e.sent, true, e.at);
     if (!s.queue.empty()) {
@@ -218,8 +219,8 @@
     }
   }
 
-  Capture const& c_;
-  ForecastPlan const& p_;
+  FleetSnapshot const& c_;
+  ForecastOptions const& p_;
   std::set<std::string> const& gone_;
   std::set<std::string> const& out_;
   u64 rnd_;
@@ -232,17 +233,17 @@
 
 }  // namespace
 
-std::map<FlowKey, double> received(Capture const& c) {
+std::map<FlowKey, double> received(FleetSnapshot const& c) {
   std::map<FlowKey, double> m;
-  for (Survey const& s : c.surveys)
-    for (SentRate const& x : s.sent)
-      m[{x.zone, x.lane}] += x.rate;
+  for (TrafficSurvey const& s : c.surveys)
+    for (ZoneSendRate const& x : s.sent)
+      m[{x.zone, x.route}] += x.rate;
   return m;
 }
 
-Forecast forecast(Capture const& c, std::set<std::string> const& gone, ForecastPlan const& p,
-                  std::set<std::string> const& out) {
-  Forecast f;
+EvacuationForecast forecast(FleetSnapshot const& c, std::set<std::string> const& gone, ForecastOptions const& p,
+                            std::set<std::string> const& out) {
+  EvacuationForecast f;
   f.takenAt = c.takenAt;
   f.gone.assign(gone.begin(), gone.end());
   f.proxiesHeard = static_cast<u32>(c.surveys.size());
@@ -253,9 +254,9 @@
   was.run();
   play.run();
 
-  auto kind_of = [&](std::string const& lane) {
-    for (CapLane const& l : c.lanes)
-      if (l.name == lane) return l.kind;
+  auto kind_of = [&](std::string const& route) {
+    for (RouteSnapshot const& l : c.routes)
+      if (l.name == route) return l.kind;
     return std::string();
   };
   auto const now = received(c);
@@ -269,9 +270,9 @@
     return it == m.end() ? 0.0 : it->second;
   };
   for (FlowKey const& k : keys) {
-    LaneFlow l;
+    RouteFlow l;
     l.zone = k.first;
-    l.lane = k.second;
+    l.route = k.second;
     l.kind = kind_of(k.second);
     l.now = at(now, k);
     l.after = at(play.flows, k) / play.span();
@@ -279,14 +280,14 @@
   }
   f.fits = true;
   std::map<FlowKey, std::pair<u32, double>> slots;
-  for (CapServer const& s : c.servers) {
+  for (ServerSnapshot const& s : c.servers) {
     if (!s.ready || out.count(s.id) > 0) continue;
     auto& [n, cap] = slots[{s.zone, s.service}];
     ++n;
     cap += s.capacity;
   }
   for (auto const& [k, v] : slots) {
-    ZoneLoad z;
+    ZoneUtilization z;
     z.zone = k.first;
     z.service = k.second;
     z.servers = v.first;
@@ -297,14 +298,14 @@
     f.fits = f.fits && !z.overloaded;
     f.loads.push_back(std::move(z));
   }
-  for (auto const& [lane, n] : play.came_total) {
+  for (auto const& [route, n] : play.came_total) {
     for (bool const home : {true, false}) {
-      double const x = at(home ? play.homeless : play.unserved, lane);
-      double const before = at(home ? was.homeless : was.unserved, lane);
+      double const x = at(home ? play.homeless : play.unserved, route);
+      double const before = at(home ? was.homeless : was.unserved, route);
       if (x <= p.lost * n || x <= before * 1.5) continue;  // what fails anyway is not this evacuation's doing
-      Unserved u;
-      u.lane = lane;
-      u.kind = kind_of(lane);
+      UnservedRate u;
+      u.route = route;
+      u.kind = kind_of(route);
       u.rate = x / play.span();
       u.homeless = home;
       f.unserved.push_back(std::move(u));
@@ -314,18 +315,18 @@
   return f;
 }
 
-double compare(Forecast const& f, Capture const& c, std::vector<Difference>& out) {
+double compare(EvacuationForecast const& f, FleetSnapshot const& c, std::vector<ForecastDifference>& out) {
   auto const got = received(c);
   std::map<FlowKey, std::pair<double, double>> m;
-  for (LaneFlow const& l : f.flows)
-    m[{l.zone, l.lane}].first = l.after;
+  for (RouteFlow const& l : f.flows)
+    m[{l.zone, l.route}].first = l.after;
   for (auto const& [k, n] : got)
     m[k].second = n;
   double off = 0, all = 0;
   for (auto const& [k, v] : m) {
-    Difference d;
+    ForecastDifference d;
     d.zone = k.first;
-    d.lane = k.second;
+    d.route = k.second;
     d.predicted = v.first;
     d.received = v.second;
     d.difference = v.second - v.first;
--- a/packages/planning/include/planning/drain_orders.hpp
+++ b/packages/planning/include/planning/drain_orders.hpp
@@ -6,23 +6,25 @@
 
 namespace dockbend {
 
-// Front addresses. Throws OrderFault that names what is unknown or named twice.
-std::vector<std::string> nodes_named(Capture const& c, std::vector<std::string> const& names);
+// Front addresses. Throws DrainOrderError that names what is unknown or named twice.
+std::vector<std::string> nodes_named(FleetSnapshot const& c, std::vector<std::string> const& names);
 // Ids of servers.
-std::vector<std::string> servers_named(Capture const& c, std::vector<std::string> const& names);
+std::vector<std::string> servers_named(FleetSnapshot const& c, std::vector<std::string> const& names);
 
-Order node_order(Capture const& c, WavePlan const& p, u64 id, double headroom, double patience);
+DrainOrder node_order(FleetSnapshot const& c, DrainWavePlan const& p, u64 id, double headroom, double patience);
 
-struct Leaving {  // in the order in which they would leave if nothing changed
-  DB_RECORD(Leaving, (std::string, id), (std::string, service), (std::string, zone), (u32, uploads), (double, bytes),
-            (u32, keyed), (u32, sessions));
+struct ServerDeparture {  // in the order in which they would leave if nothing changed
+  DB_RECORD(ServerDeparture, (std::string, id), (std::string, service), (std::string, zone), (u32, uploads),
+            (double, bytes), (u32, keyed), (u32, sessions));
 };
 struct RotationPlan {
   DB_RECORD(RotationPlan, (double, takenAt), (u32, maxUnavailable), (double, headroom), (bool, partial),
-            (std::vector<Leaving>, order), (std::vector<Lack>, lacks), (Forecast, worst), (bool, fits));
+            (std::vector<ServerDeparture>, order), (std::vector<CapacityShortfall>, lacks), (EvacuationForecast, worst),
+            (bool, fits));
 };
 // worst: the proxies' own choice played without the first of each service that may be out at once.
-RotationPlan plan_rotation(Capture const& c, std::vector<std::string> const& ids, u32 max_unavailable, double headroom);
-Order server_order(Capture const& c, RotationPlan const& p, u64 id, double patience, bool replaced);
+RotationPlan plan_rotation(FleetSnapshot const& c, std::vector<std::string> const& ids, u32 max_unavailable,
+                           double headroom);
+DrainOrder server_order(FleetSnapshot const& c, RotationPlan const& p, u64 id, double patience, bool replaced);
 
 }  // namespace dockbend
--- a/packages/planning/include/planning/drain_waves.hpp
+++ b/packages/planning/include/planning/drain_waves.hpp
@@ -11,26 +11,27 @@
 struct KindRate {  // requests a second that clients bring to a region's proxies
   DB_RECORD(KindRate, (std::string, region), (std::string, kind), (double, now), (double, after));
 };
-struct RegionAfter {  // load: mean over the nodes that serve; peak: of the busiest of them
-  DB_RECORD(RegionAfter, (std::string, region), (u32, nodes), (double, now), (double, load), (double, peak));
+struct RegionForecast {  // load: mean over the nodes that serve; peak: of the busiest of them
+  DB_RECORD(RegionForecast, (std::string, region), (u32, nodes), (double, now), (double, load), (double, peak));
 };
-struct Wave {
-  DB_RECORD(Wave, (std::vector<std::string>, fronts), (std::vector<std::string>, nodes),
-            (std::vector<RegionAfter>, regions), (std::vector<KindRate>, kinds));
+struct DrainWave {
+  DB_RECORD(DrainWave, (std::vector<std::string>, fronts), (std::vector<std::string>, nodes),
+            (std::vector<RegionForecast>, regions), (std::vector<KindRate>, kinds));
 };
-struct Lack {  // what a region's other nodes could not carry
-  DB_RECORD(Lack, (std::string, region), (std::string, kind), (double, rate), (double, load), (double, wanted));
+struct CapacityShortfall {  // what a region's other nodes could not carry
+  DB_RECORD(CapacityShortfall, (std::string, region), (std::string, kind), (double, rate), (double, load),
+            (double, wanted));
 };
-struct WavePlan {
-  DB_RECORD(WavePlan, (double, takenAt), (double, headroom), (std::vector<std::string>, silent), (bool, partial),
-            (std::vector<Wave>, waves), (std::vector<Lack>, lacks), (bool, fits));
+struct DrainWavePlan {
+  DB_RECORD(DrainWavePlan, (double, takenAt), (double, headroom), (std::vector<std::string>, silent), (bool, partial),
+            (std::vector<DrainWave>, waves), (std::vector<CapacityShortfall>, lacks), (bool, fits));
 };
 
 // The state of things with `out` not named by the directory any more, once clients followed.
-Wave moved(Capture const& c, std::set<std::string> const& out);
+DrainWave moved(FleetSnapshot const& c, std::set<std::string> const& out);
 
 // Waves of the nodes named (front addresses), each as large as the headroom allows. A node
 // that is not in the capture, or dark, counts as nothing and goes into the first wave.
-WavePlan plan_waves(Capture const& c, std::vector<std::string> const& fronts, double headroom);
+DrainWavePlan plan_waves(FleetSnapshot const& c, std::vector<std::string> const& fronts, double headroom);
 
 }  // namespace dockbend
--- a/packages/planning/include/planning/traffic_survey.hpp
+++ b/packages/planning/include/planning/traffic_survey.hpp
@@ -12,41 +12,42 @@
 
 namespace dockbend {
 
-struct SurveyAsk {
+struct SurveyRequest {
   // held: only what is open at these servers is wanted, and nothing else.
-  DB_RECORD(SurveyAsk, (u64, id), (bool, held), (std::vector<std::string>, servers));
+  DB_RECORD(SurveyRequest, (u64, id), (bool, held), (std::vector<std::string>, servers));
 };
 // Errands a second that came in for a lane, by the service they drew and the homes that
 // bind them (their lane's and their partner's; none: any region).
-struct LaneRate {
-  DB_RECORD(LaneRate, (std::string, lane), (std::string, pool), (double, rate), (double, bulky),
+struct RouteRate {
+  DB_RECORD(RouteRate, (std::string, route, lane), (std::string, pool), (double, rate), (double, bulky),
             (std::vector<std::string>, homes));
 };
-struct SentRate {  // tries a second that went to servers of a zone
-  DB_RECORD(SentRate, (std::string, lane), (std::string, zone), (double, rate));
+struct ZoneSendRate {  // tries a second that went to servers of a zone
+  DB_RECORD(ZoneSendRate, (std::string, route, lane), (std::string, zone), (double, rate));
 };
-struct Speed {
+struct ServerLatency {
   // told: dev is said, and may be 0.
-  DB_RECORD(Speed, (std::string, id), (double, lat), (double, dev), (bool, told));
+  DB_RECORD(ServerLatency, (std::string, id), (double, lat), (double, dev), (bool, told));
 };
-struct Dropped {  // by a fence, since the proxy began
-  DB_RECORD(Dropped, (std::string, cause), (u64, n));
+struct DiscardCount {  // by a fence, since the proxy began
+  DB_RECORD(DiscardCount, (std::string, cause), (u64, n));
 };
-struct Survey {
-  DB_RECORD(Survey, (u64, id), (std::string, front), (std::string, zone), (std::string, region), (double, span),
-            (std::vector<LaneRate>, lanes), (std::vector<SentRate>, sent), (std::vector<Speed>, speeds),
-            (std::string, node), (std::vector<Held>, held), (std::vector<Dropped>, dropped));
+struct TrafficSurvey {
+  DB_RECORD(TrafficSurvey, (u64, id), (std::string, front), (std::string, zone), (std::string, region), (double, span),
+            (std::vector<RouteRate>, routes, lanes), (std::vector<ZoneSendRate>, sent),
+            (std::vector<ServerLatency>, speeds), (std::string, node), (std::vector<OpenWork>, held),
+            (std::vector<DiscardCount>, dropped));
 };
 
 // Rates over the last whole seconds. Invariant: a rate counts each errand once, in
 // the second in which it came; what is older than the span counts no more.
-class Observer {
+class TrafficObserver {
  public:
   static constexpr std::size_t seconds = 10;
-  void errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes, bool bulky,
-              Secs now);
-  void sent(std::string const& lane, std::string const& zone, Secs now);
-  void fill(Survey& s, Secs now) const;
+  void errand(std::string const& route, std::string const& pool, std::vector<std::string> const& homes, bool bulky,
+              Seconds now);
+  void sent(std::string const& route, std::string const& zone, Seconds now);
+  void fill(TrafficSurvey& s, Seconds now) const;
 
  private:
   struct Ring {
@@ -68,7 +69,7 @@
     }
   };
   using Key = std::pair<std::string, std::string>;
-  Secs first_ = -1;
+  Seconds first_ = -1;
   using CameKey = std::tuple<std::string, std::string, std::vector<std::string>>;
   std::map<CameKey, std::pair<Ring, Ring>> came_;  // (lane, pool, homes): all, bulky ones
   std::map<Key, Ring> went_;                       // (lane, zone)
--- a/packages/planning/traffic_survey.cpp
+++ b/packages/planning/traffic_survey.cpp
@@ -5,24 +5,24 @@
 
 namespace dockbend {
 namespace {
-u64 second_of(Secs now) {
+u64 second_of(Seconds now) {
   return static_cast<u64>(std::max(0.0, now)) + 1;
 }
 }  // namespace
 
-void Observer::errand(std::string const& lane, std::string const& pool, std::vector<std::string> const& homes,
-                      bool bulky, Secs now) {
+void TrafficObserver::errand(std::string const& route, std::string const& pool, std::vector<std::string> const& homes,
+                             bool bulky, Seconds now) {
   if (first_ < 0) first_ = now;
-  auto& [all, big] = came_[{lane, pool, homes}];
+  auto& [all, big] = came_[{route, pool, homes}];
   all.add(second_of(now));
   if (bulky) big.add(second_of(now));
 }
 
-void Observer::sent(std::string const& lane, std::string const& zone, Secs now) {
-  went_[{lane, zone}].add(second_of(now));
+void TrafficObserver::sent(std::string const& route, std::string const& zone, Seconds now) {
+  went_[{route, zone}].add(second_of(now));
 }
 
-void Observer::fill(Survey& s, Secs now) const {
+void TrafficObserver::fill(TrafficSurvey& s, Seconds now) const {
   u64 const sec = second_of(now);
   double const lived = first_ < 0 ? 0 : std::floor(now - first_);
   auto const span = static_cast<std::size_t>(std::clamp(lived, 1.0, static_cast<double>(seconds)));
@@ -31,19 +31,19 @@
   for (auto const& [k, r] : came_) {
     double const n = r.first.sum(sec, span);
     if (n <= 0) continue;
-    LaneRate l;
-    l.lane = std::get<0>(k);
+    RouteRate l;
+    l.route = std::get<0>(k);
     l.pool = std::get<1>(k);
     l.homes = std::get<2>(k);
     l.rate = n / d;
     l.bulky = r.second.sum(sec, span) / n;
-    s.lanes.push_back(std::move(l));
+    s.routes.push_back(std::move(l));
   }
   for (auto const& [k, r] : went_) {
     double const n = r.sum(sec, span);
     if (n <= 0) continue;
-    SentRate x;
-    x.lane = k.first;
+    ZoneSendRate x;
+    x.route = k.first;
     x.zone = k.second;
     x.rate = n / d;
     s.sent.push_back(std::move(x));
--- a/packages/process/include/process/program.hpp
+++ b/packages/process/include/process/program.hpp
@@ -13,7 +13,7 @@
 
 namespace dockbend {
 
-struct Cli {
+struct ProgramInfo {
   char const* name;
   char const* what;
   bool can_stage = false;            // knows --staged
@@ -23,43 +23,43 @@
 
 // Reads the command line (--help, --version, --check, --settings FILE) and the
 // settings. Returns an exit code if the program shall end at once.
-std::optional<int> open_program(Cli const& cli, int argc, char** argv, Settings& st);
+std::optional<int> open_program(ProgramInfo const& cli, int argc, char** argv, Settings& st);
 
 // Has a SIGTERM (or SIGINT) arrived at a process that has a Watch? True from the moment the
 // signal is delivered, also while its event still waits in the loop behind others.
 bool term_arrived();
 
 // SIGTERM, SIGHUP and the settings file's changes, on the event loop.
-class Watch {
+class ProcessSignals {
  public:
   sigc::signal<void()> on_term;
   sigc::signal<void(Settings const&)> on_settings;
-  explicit Watch(event_base* eb);
-  ~Watch();
-  Watch(Watch const&) = delete;
+  explicit ProcessSignals(event_base* loop);
+  ~ProcessSignals();
+  ProcessSignals(ProcessSignals const&) = delete;
 
  private:
   void look(bool told);
   event *term_, *int_, *hup_;
-  std::unique_ptr<Ticker> poll_;
+  std::unique_ptr<PeriodicTimer> poll_;
   i64 seen_mtime_ = 0, seen_size_ = 0;
 };
 
 // The whole life of a daemon: settings, its task, its signals, the loop. The task
 // has term() and settings(); it breaks the loop when it is done.
 template <class Task>
-int run_daemon(Cli const& cli, int argc, char** argv) {
+int run_daemon(ProgramInfo const& cli, int argc, char** argv) {
   Settings st;
   if (auto const rc = open_program(cli, argc, argv, st)) return *rc;
-  event_base* const eb = event_base_new();
+  event_base* const loop = event_base_new();
   try {
-    Task task(eb, st);
-    Watch w(eb);
+    Task task(loop, st);
+    ProcessSignals w(loop);
     w.on_term.connect([&] { task.term(); });
     w.on_settings.connect([&](Settings const& s) { task.settings(s); });
-    event_base_dispatch(eb);
+    event_base_dispatch(loop);
     _exit(0);  // nothing is left to unwind, and log threads need not be waited for
-  } catch (BadSetting const& e) {
+  } catch (SettingsError const& e) {
     std::fprintf(stderr, "%s: settings: %s\n", cli.name, e.what());
     return 2;
   } catch (std::exception const& e) {
--- a/packages/process/program.cpp
+++ b/packages/process/program.cpp
@@ -13,7 +13,7 @@
 namespace dockbend {
 namespace {
 std::string path_used;
-void usage(Cli const& c, FILE* f) {
+void usage(ProgramInfo const& c, FILE* f) {
   std::fprintf(f,
                "%s: %s\n\nusage: %s [--settings FILE] [--check]\n\n"
                "  --settings FILE  the settings file (default: $DOCKBEND_SETTINGS,\n"
@@ -53,7 +53,7 @@
   return term_flag.load(std::memory_order_relaxed);
 }
 
-std::optional<int> open_program(Cli const& cli, int argc, char** argv, Settings& st) {
+std::optional<int> open_program(ProgramInfo const& cli, int argc, char** argv, Settings& st) {
   static option const opts[] = {{"settings", required_argument, nullptr, 's'}, {"check", no_argument, nullptr, 'c'},
                                 {"staged", no_argument, nullptr, 'g'},         {"help", no_argument, nullptr, 'h'},
                                 {"version", no_argument, nullptr, 'v'},        {nullptr, 0, nullptr, 0}};
@@ -83,11 +83,11 @@
     st = load_settings(path_used);
     st.staged = st.staged || staged;
     for (std::string const& b : cli.binds)
-      if (st.bind.count(b) == 0) throw BadSetting("bind." + b, "missing");
-    if (cli.keeps && st.dataDir.empty()) throw BadSetting("dataDir", "missing");
+      if (st.bind.count(b) == 0) throw SettingsError("bind." + b, "missing");
+    if (cli.keeps && st.dataDir.empty()) throw SettingsError("dataDir", "missing");
     if (cli.keeps && st.bootstrap && st.seeds.empty())
-      throw BadSetting("seedAddrs", "missing, and with bootstrap=true the system begins with them");
-  } catch (BadSetting const& e) {
+      throw SettingsError("seedAddrs", "missing, and with bootstrap=true the system begins with them");
+  } catch (SettingsError const& e) {
     std::fprintf(stderr, "%s: settings: %s\n", cli.name, e.what());
     return 2;
   }
@@ -100,12 +100,12 @@
   return std::nullopt;
 }
 
-Watch::Watch(event_base* eb) {
-  auto term = [](evutil_socket_t, short, void* p) { static_cast<Watch*>(p)->on_term.emit(); };
-  term_ = evsignal_new(eb, SIGTERM, term, this);
-  int_ = evsignal_new(eb, SIGINT, term, this);
+ProcessSignals::ProcessSignals(event_base* loop) {
+  auto term = [](evutil_socket_t, short, void* p) { static_cast<ProcessSignals*>(p)->on_term.emit(); };
+  term_ = evsignal_new(loop, SIGTERM, term, this);
+  int_ = evsignal_new(loop, SIGINT, term, this);
   hup_ = evsignal_new(
-      eb, SIGHUP, [](evutil_socket_t, short, void* p) { static_cast<Watch*>(p)->look(true); }, this);
+      loop, SIGHUP, [](evutil_socket_t, short, void* p) { static_cast<ProcessSignals*>(p)->look(true); }, this);
   event_add(term_, nullptr);
   event_add(int_, nullptr);
   event_add(hup_, nullptr);
@@ -116,17 +116,17 @@
     seen_mtime_ = static_cast<i64>(sb.st_mtim.tv_sec) * 1000000000 + sb.st_mtim.tv_nsec;
     seen_size_ = sb.st_size;
   }
-  poll_ = std::make_unique<Ticker>(eb, 1.0, [this] { look(false); });
+  poll_ = std::make_unique<PeriodicTimer>(loop, 1.0, [this] { look(false); });
 }
 
-Watch::~Watch() {
+ProcessSignals::~ProcessSignals() {
   event_free(term_);
   event_free(int_);
   event_free(hup_);
   term_flag.store(false, std::memory_order_relaxed);
 }
 
-void Watch::look(bool told) {
+void ProcessSignals::look(bool told) {
   struct stat sb {};
   if (::stat(path_used.c_str(), &sb) != 0) return;
   i64 const m = static_cast<i64>(sb.st_mtim.tv_sec) * 1000000000 + sb.st_mtim.tv_nsec;
@@ -136,9 +136,9 @@
   try {
     Settings const st = load_settings(path_used);
     on_settings.emit(st);
-  } catch (BadSetting const& e) {
+  } catch (SettingsError const& e) {
     DB_LOG("settings");
-    LOG4CPLUS_WARN(lg, "Kept the old settings. " << e.what());
+    LOG4CPLUS_WARN(logger, "Kept the old settings. " << e.what());
   }
 }
 
--- a/packages/quota/quota.cpp
+++ b/packages/quota/quota.cpp
@@ -6,13 +6,13 @@
 namespace dockbend {
 namespace {
 double const own_share = 0.1;  // of a budget, set aside for proxies that can't borrow
-Secs const most_lease = 1.0;
-Secs const ask_every = 0.25;
+Seconds const most_lease = 1.0;
+Seconds const ask_every = 0.25;
 }  // namespace
 
-Cut cut_of(BudgetRule const& r, double proxies) {
+QuotaSplit split_quota(QuotaRule const& r, double proxies) {
   double const n = std::max(1.0, proxies * 1.25);  // those we have not heard of yet share too
-  Cut c;
+  QuotaSplit c;
   double own = own_share;
   // Less than one token each is worth nothing to anyone; then all of it is lent.
   if (proxies <= 0 || r.burst * own / n < 1) own = 0;
@@ -27,14 +27,14 @@
 
 // ---- lender -------------------------------------------------------------------------
 
-void Lender::rule(std::string const& tenant, BudgetRule r, double proxies, Secs now) {
+void QuotaAllocator::rule(std::string const& tenant, QuotaRule r, double proxies, Seconds now) {
   auto const [it, fresh] = m_.try_emplace(tenant);
-  Purse& p = it->second;
+  TenantQuota& p = it->second;
   if (!fresh && p.rule == r && p.proxies == proxies) return;
   fill(p, now);
   p.rule = r;
   p.proxies = proxies;
-  p.cut = cut_of(r, proxies);
+  p.cut = split_quota(r, proxies);
   if (fresh) {
     p.level = 0;
     p.at = now;
@@ -42,32 +42,32 @@
   p.level = std::min(p.level, p.cut.lent_depth);
 }
 
-std::vector<std::string> Lender::tenants() const {
+std::vector<std::string> QuotaAllocator::tenants() const {
   std::vector<std::string> v;
   for (auto const& [t, p] : m_)
     v.push_back(t);
   return v;
 }
 
-void Lender::fill(Purse& p, Secs now) const {
-  Secs const from = std::max(p.at, opens_);
+void QuotaAllocator::fill(TenantQuota& p, Seconds now) const {
+  Seconds const from = std::max(p.at, opens_);
   if (now > from) p.level = std::min(std::max(p.cut.lent_depth, 1.0), p.level + (now - from) * p.cut.lent_rate);
   p.at = std::max(p.at, now);
 }
 
-LoanRet Lender::ask(LoanAsk const& a, Secs now) {
-  LoanRet r;
-  r.life = a.life;
+QuotaLeaseResponse QuotaAllocator::ask(QuotaLeaseRequest const& a, Seconds now) {
+  QuotaLeaseResponse r;
+  r.incarnation = a.incarnation;
   r.seq = a.seq;
   r.lender = true;
-  for (Want const& w : a.wants) {
-    Loan l;
+  for (QuotaDemand const& w : a.wants) {
+    QuotaLease l;
     l.tenant = w.tenant;
     auto const it = m_.find(w.tenant);
     if (it == m_.end()) continue;
-    Purse& p = it->second;
+    TenantQuota& p = it->second;
     fill(p, now);
-    Gate& g = p.gates[a.life];
+    Gate& g = p.gates[a.incarnation];
     g.front = a.front;
     g.heard = now;
     g.spent = std::max(g.spent, w.spent);
@@ -122,18 +122,18 @@
   return r;
 }
 
-Lender::Seen Lender::show(std::string const& tenant, Secs now) const {
+QuotaAllocator::Seen QuotaAllocator::show(std::string const& tenant, Seconds now) const {
   Seen s;
   auto const it = m_.find(tenant);
   if (it == m_.end()) return s;
-  Purse p = it->second;
+  TenantQuota p = it->second;
   fill(p, now);
   s.rule = p.rule;
   s.level = p.level;
   s.proxies = p.proxies;
   s.spent = p.past_spent;
   s.refused = p.past_refused;
-  for (auto const& [life, g] : p.gates) {
+  for (auto const& [incarnation, g] : p.gates) {
     s.spent += g.spent;
     s.refused += g.refused;
     double out = 0;
@@ -147,7 +147,7 @@
 
 // ---- borrower -----------------------------------------------------------------------
 
-double Borrower::sum(std::deque<Lot>& l, Secs now) {
+double QuotaClient::sum(std::deque<Lot>& l, Seconds now) {
   while (!l.empty() && (l.front().until <= now || l.front().n < 1))
     l.pop_front();
   double n = 0;
@@ -155,35 +155,35 @@
     n += x.n;
   return n;
 }
-Secs Borrower::pop(std::deque<Lot>& l, Secs now) {
+Seconds QuotaClient::pop(std::deque<Lot>& l, Seconds now) {
   if (sum(l, now) < 1) return -1;
   l.front().n -= 1;
   return l.front().until;
 }
 
-void Borrower::rule(std::string const& tenant, BudgetRule r, double proxies, Secs now) {
+void QuotaClient::rule(std::string const& tenant, QuotaRule r, double proxies, Seconds now) {
   auto const [it, fresh] = m_.try_emplace(tenant);
-  Purse& p = it->second;
+  TenantQuota& p = it->second;
   if (!fresh && p.rule == r && p.proxies == proxies) return;
   p.rule = r;
   p.proxies = proxies;
-  p.cut = cut_of(r, p.said > 0 ? std::max(proxies, p.said) : 0);
+  p.cut = split_quota(r, p.said > 0 ? std::max(proxies, p.said) : 0);
   p.own = fresh ? 0 : std::min(p.own, p.cut.own_depth);
   p.own_at = now;
   if (fresh) p.rate_at = now;
 }
 
-std::vector<std::string> Borrower::tenants() const {
+std::vector<std::string> QuotaClient::tenants() const {
   std::vector<std::string> v;
   for (auto const& [t, p] : m_)
     v.push_back(t);
   return v;
 }
 
-Borrower::Token Borrower::take(std::string const& tenant, bool high, Secs now) {
+QuotaClient::Token QuotaClient::take(std::string const& tenant, bool high, Seconds now) {
   auto const it = m_.find(tenant);
   if (it == m_.end()) return {Take::own, now};
-  Purse& p = it->second;
+  TenantQuota& p = it->second;
   p.used_at = now;
   (high ? p.want_high : p.want_low) += 1;
   p.own = std::min(p.cut.own_depth, p.own + (now - p.own_at) * p.cut.own_rate);
@@ -205,10 +205,10 @@
   return t;
 }
 
-void Borrower::give_back(std::string const& tenant, Token const& t, Secs now) {
+void QuotaClient::give_back(std::string const& tenant, Token const& t, Seconds now) {
   auto const it = m_.find(tenant);
   if (it == m_.end() || !t) return;
-  Purse& p = it->second;
+  TenantQuota& p = it->second;
   if (p.spent > 0) --p.spent;
   if (t.from == Take::own) {
     p.own = std::min(p.cut.own_depth, p.own + 1);
@@ -220,25 +220,25 @@
   }
 }
 
-u64 Borrower::waits(std::string const& tenant, Secs now) {
+u64 QuotaClient::waits(std::string const& tenant, Seconds now) {
   if (auto const it = m_.find(tenant); it != m_.end()) it->second.used_at = now;
   eager_ = true;
   return seq_ + 1;
 }
 
-void Borrower::refused(std::string const& tenant) {
+void QuotaClient::refused(std::string const& tenant) {
   auto const it = m_.find(tenant);
   if (it == m_.end()) return;
   ++it->second.refused;
   it->second.told = false;
 }
 
-Secs Borrower::wait_of(std::string const& tenant) const {
+Seconds QuotaClient::wait_of(std::string const& tenant) const {
   auto const it = m_.find(tenant);
   return it == m_.end() ? 0.1 : std::clamp(it->second.wait, 0.05, 30.0);
 }
 
-bool Borrower::due(Secs now) const {
+bool QuotaClient::due(Seconds now) const {
   if (asking(now)) return false;
   if (eager_ && now - asked_ >= 0.02) return true;
   if (now - asked_ < ask_every) return false;
@@ -247,23 +247,23 @@
   return false;
 }
 
-LoanAsk Borrower::ask(Secs now) {
-  LoanAsk a;
-  a.life = life_;
+QuotaLeaseRequest QuotaClient::ask(Seconds now) {
+  QuotaLeaseRequest a;
+  a.incarnation = incarnation_;
   a.seq = ++seq_;
   a.front = front_;
   asked_ = now;
   asking_ = true;
   eager_ = false;
   for (auto& [t, p] : m_) {
-    Secs const dt = std::max(0.02, now - p.rate_at);
+    Seconds const dt = std::max(0.02, now - p.rate_at);
     double const k = std::min(1.0, dt / 0.5);
     p.rate_high += k * (p.want_high / dt - p.rate_high);
     p.rate_low += k * (p.want_low / dt - p.rate_low);
     p.rate_at = now;
     bool const active = p.want_high + p.want_low > 0 || now - p.used_at < 1.0;
     double const have_high = sum(p.high, now), have_low = sum(p.low, now);
-    Want w;
+    QuotaDemand w;
     w.tenant = t;
     // Enough for until the next answer; more would only end unused elsewhere than needed.
     double const ahead = ask_every + 0.1;
@@ -295,15 +295,15 @@
   return a;
 }
 
-void Borrower::got(LoanRet const& r, Secs now) {
-  if (r.life != life_ || r.seq != seq_ || !asking_) return;
+void QuotaClient::got(QuotaLeaseResponse const& r, Seconds now) {
+  if (r.incarnation != incarnation_ || r.seq != seq_ || !asking_) return;
   asking_ = false;
-  for (Loan const& l : r.loans) {
+  for (QuotaLease const& l : r.loans) {
     auto const it = m_.find(l.tenant);
     if (it == m_.end()) continue;
-    Purse& p = it->second;
+    TenantQuota& p = it->second;
     // Counted from before it was asked for; what has ended on the way is not taken.
-    Secs const until = asked_ + l.for_ms / 1000.0;
+    Seconds const until = asked_ + l.for_ms / 1000.0;
     if (until > now) {
       if (l.high >= 1) p.high.push_back(Lot{l.high, until});
       if (l.low >= 1) p.low.push_back(Lot{l.low, until});
@@ -311,7 +311,7 @@
     p.wait = l.wait > 0 ? l.wait : 0.1;
     if (l.proxies > 0 && l.proxies != p.said) {
       p.said = l.proxies;
-      p.cut = cut_of(p.rule, std::max(p.proxies, p.said));
+      p.cut = split_quota(p.rule, std::max(p.proxies, p.said));
       p.own = std::min(p.own, p.cut.own_depth);
       p.own_at = now;
     }
--- a/packages/request/admission.cpp
+++ b/packages/request/admission.cpp
@@ -7,7 +7,7 @@
 namespace dockbend {
 namespace {
 
-using schema::LaneKind;
+using schema::RouteKind;
 
 // What is read of the head. Invariant: a name that must be said once is counted.
 struct Named {
@@ -15,7 +15,7 @@
   std::size_t ids = 0, keys = 0, hosts = 0;
 };
 
-Named read(Heads const& heads) {
+Named read(Headers const& heads) {
   Named n;
   auto first = [](std::string const*& p, std::string const& v) {
     if (p == nullptr) p = &v;
@@ -35,13 +35,13 @@
   return n;
 }
 
-bool well_framed(Arrival const& a) {
+bool well_framed(IncomingRequest const& a) {
   u64 len = 0;
   switch (framing_of(a.heads, len)) {
-    case Framing::none: return a.body == 0;
-    case Framing::length: return len == a.body;
-    case Framing::chunked: return a.chunks;
-    case Framing::ambiguous: break;
+    case BodyFraming::none: return a.body == 0;
+    case BodyFraming::length: return len == a.body;
+    case BodyFraming::chunked: return a.chunks;
+    case BodyFraming::ambiguous: break;
   }
   return false;
 }
@@ -64,24 +64,24 @@
   return s;
 }
 
-std::string const* pick(Lane const& lane, double draw) {
+std::string const* pick(Route const& route, double draw) {
   double sum = 0;
-  for (auto const& [s, g] : lane.to)
+  for (auto const& [s, g] : route.to)
     sum += g;
   double x = draw * sum;
-  for (auto const& [s, g] : lane.to) {
+  for (auto const& [s, g] : route.to) {
     if (g > 0 && x < g) return &s;
     x -= g;
   }
-  return &lane.to.back().first;
+  return &route.to.back().first;
 }
 
 // If both the lane and the partner have homes, both bind. None: they have none in common.
-std::optional<std::vector<std::string>> homes_of(Lane const& lane, Tenant const* t) {
-  if (t == nullptr || t->homes.empty()) return lane.homes;
-  if (lane.homes.empty()) return t->homes;
+std::optional<std::vector<std::string>> homes_of(Route const& route, Tenant const* t) {
+  if (t == nullptr || t->homes.empty()) return route.homes;
+  if (route.homes.empty()) return t->homes;
   std::vector<std::string> both;
-  for (std::string const& h : lane.homes)
+  for (std::string const& h : route.homes)
     if (std::find(t->homes.begin(), t->homes.end(), h) != t->homes.end()) both.push_back(h);
   if (both.empty()) return std::nullopt;
   return both;
@@ -89,18 +89,19 @@
 
 }  // namespace
 
-std::size_t size_of(Heads const& h) {
+std::size_t size_of(Headers const& h) {
   std::size_t n = 0;
   for (auto const& [k, v] : h)
     n += k.size() + v.size() + 4;
   return n;
 }
 
-Admission admit(Arrival const& a, Compiled const* man, LimitsDef const& limits, bool drains, double draw) {
+AdmissionResult admit(IncomingRequest const& a, CompiledConfiguration const* man, LimitsConfig const& limits,
+                      bool drains, double draw) {
   Named const n = read(a.heads);
-  Admission out;
+  AdmissionResult out;
   if (n.id != nullptr) out.id = *n.id;
-  auto no = [&out](Verdict v, char const* why = nullptr) {
+  auto no = [&out](LocalReply v, char const* why = nullptr) {
     out.no = v;
     out.why = why;
     return std::move(out);
@@ -112,32 +113,32 @@
   if (a.body > limits.body_bytes) return no(verdict_of(413, -1, true));
   if (a.target.empty() || a.target[0] != '/' || !well_formed_target(a.target)) return no(verdict_of(400, -1, true));
   if (man == nullptr) return no(verdict_of(503, 0.3));
-  Admitted r;
-  r.lane = man->find(host_of(*n.host), a.target.substr(0, a.target.find('?')));
-  if (!r.lane) return no(verdict_of(404));
+  AdmittedRequest r;
+  r.route = man->find(host_of(*n.host), a.target.substr(0, a.target.find('?')));
+  if (!r.route) return no(verdict_of(404));
   if (out.id.empty()) return no(verdict_of(400));
-  Lane const& lane = *r.lane;
-  r.upload = lane.kind == LaneKind::inflow || a.body > upload_bytes;
+  Route const& route = *r.route;
+  r.upload = route.kind == RouteKind::inflow || a.body > kUploadBytes;
   // On its way out for maintenance: what may not be cut is not begun.
-  if (drains && (lane.kind == LaneKind::keyed || r.upload)) return no(verdict_of(503, 0.05, true), "draining");
+  if (drains && (route.kind == RouteKind::keyed || r.upload)) return no(verdict_of(503, 0.05, true), "draining");
   r.gated = man->has_tenants();
   if (r.gated) {
     if (n.authorization != nullptr)
       if (std::string_view const k = key_of(*n.authorization); !k.empty()) r.tenant = man->tenant_of(k);
-    if (!r.tenant && !lane.keyless) return no(verdict_of(401));
+    if (!r.tenant && !route.keyless) return no(verdict_of(401));
   }
-  r.rank = r.tenant && r.tenant->rank ? *r.tenant->rank : lane.rank;
-  r.left = lane.deadline;
+  r.rank = r.tenant && r.tenant->rank ? *r.tenant->rank : route.rank;
+  r.left = route.deadline;
   if (n.time_left != nullptr)
     if (double const ms = std::strtod(n.time_left->c_str(), nullptr); ms > 0) r.left = std::min(r.left, ms / 1000.0);
-  r.service = pick(lane, draw);
-  PoolDef const* const d = man->pool(*r.service);
-  r.repeatable = lane.kind == LaneKind::idempotent || (lane.kind == LaneKind::keyed && d != nullptr && d->dedupes);
-  if (lane.kind == LaneKind::keyed) {
+  r.service = pick(route, draw);
+  ServiceConfig const* const d = man->pool(*r.service);
+  r.repeatable = route.kind == RouteKind::idempotent || (route.kind == RouteKind::keyed && d != nullptr && d->dedupes);
+  if (route.kind == RouteKind::keyed) {
     if (n.key == nullptr || n.key->empty()) return no(verdict_of(400));
     r.key = r.tenant ? r.tenant->name + "/" + *n.key : *n.key;
   }
-  std::optional<std::vector<std::string>> homes = homes_of(lane, r.tenant.get());
+  std::optional<std::vector<std::string>> homes = homes_of(route, r.tenant.get());
   // Nobody may ever run it.
   if (!homes) return no(verdict_of(503, 1.0), "homes have nothing in common");
   r.homes = std::move(*homes);
--- a/packages/request/headers.cpp
+++ b/packages/request/headers.cpp
@@ -12,7 +12,7 @@
   });
 }
 
-std::string const* find_head(Heads const& h, std::string_view name) {
+std::string const* find_head(Headers const& h, std::string_view name) {
   for (auto const& [k, v] : h)
     if (same_name(k, name)) return &v;
   return nullptr;
@@ -25,27 +25,27 @@
   return false;
 }
 
-Framing framing_of(Heads const& h, u64& length) {
+BodyFraming framing_of(Headers const& h, u64& length) {
   std::string const *len = nullptr, *enc = nullptr;
   for (auto const& [k, v] : h) {
     if (same_name(k, "Content-Length")) {
-      if (len != nullptr) return Framing::ambiguous;
+      if (len != nullptr) return BodyFraming::ambiguous;
       len = &v;
     } else if (same_name(k, "Transfer-Encoding")) {
-      if (enc != nullptr) return Framing::ambiguous;
+      if (enc != nullptr) return BodyFraming::ambiguous;
       enc = &v;
     }
   }
-  if (len != nullptr && enc != nullptr) return Framing::ambiguous;
-  if (enc != nullptr) return same_name(*enc, "chunked") ? Framing::chunked : Framing::ambiguous;
-  if (len == nullptr) return Framing::none;
-  if (len->empty() || len->size() > 15) return Framing::ambiguous;
+  if (len != nullptr && enc != nullptr) return BodyFraming::ambiguous;
+  if (enc != nullptr) return same_name(*enc, "chunked") ? BodyFraming::chunked : BodyFraming::ambiguous;
+  if (len == nullptr) return BodyFraming::none;
+  if (len->empty() || len->size() > 15) return BodyFraming::ambiguous;
   length = 0;
   for (char const c : *len) {
-    if (c < '0' || c > '9') return Framing::ambiguous;
+    if (c < '0' || c > '9') return BodyFraming::ambiguous;
     length = length * 10 + static_cast<u64>(c - '0');
   }
-  return Framing::length;
+  return BodyFraming::length;
 }
 
 namespace {
@@ -64,7 +64,7 @@
 }
 }  // namespace
 
-bool well_formed(Heads const& h) {
+bool well_formed(Headers const& h) {
   std::size_t ids = 0;
   for (auto const& [k, v] : h) {
     if (!is_token(k) || v.find('\r') != std::string::npos) return false;
@@ -77,8 +77,8 @@
   return uri.find(' ') == std::string_view::npos && !has_control(uri);
 }
 
-bool surely_not_run(End e) {
-  return e == End::not_run || e == End::misdirected || e == End::unsent;
+bool surely_not_run(AttemptResult e) {
+  return e == AttemptResult::not_run || e == AttemptResult::misdirected || e == AttemptResult::unsent;
 }
 
 char const* reason_of(int code) {
@@ -103,17 +103,20 @@
   return code == 429 || code == 503 || code == 408 || code == 421;
 }
 
-Judged examine(Reply const& r, std::string_view attempt_id) {
+ResponseCheck examine(UpstreamResponse const& r, std::string_view attempt_id) {
   u64 len = 0;
-  Framing const f = framing_of(r.heads, len);
+  BodyFraming const f = framing_of(r.heads, len);
   bool const bodiless = r.code == 204 || r.code == 304 || r.head;
-  if (f == Framing::ambiguous || (f == Framing::none && !bodiless)) return {End::broken, Drop::broken_frame};
-  if (f == Framing::length && !bodiless && len != r.body) return {End::broken, Drop::broken_frame};
-  if (r.code < 200 || r.code > 599) return {End::broken, Drop::broken_frame};
+  if (f == BodyFraming::ambiguous || (f == BodyFraming::none && !bodiless))
+    return {AttemptResult::broken, ResponseRejection::broken_frame};
+  if (f == BodyFraming::length && !bodiless && len != r.body)
+    return {AttemptResult::broken, ResponseRejection::broken_frame};
+  if (r.code < 200 || r.code > 599) return {AttemptResult::broken, ResponseRejection::broken_frame};
   bool named = false, not_run = false, sealed = false;
   for (auto const& [k, v] : r.heads) {
     if (same_name(k, "X-Attempt-Id")) {
-      if (v != attempt_id) return {End::broken, named ? Drop::two_ids : Drop::other_id};
+      if (v != attempt_id)
+        return {AttemptResult::broken, named ? ResponseRejection::two_ids : ResponseRejection::other_id};
       named = true;
     } else if (same_name(k, "X-Not-Run")) {
       not_run = true;
@@ -122,12 +125,12 @@
     }
   }
   // A refusal without an id may be a surplus one, of a request that went before.
-  if (!named) return {End::broken, Drop::no_id};
-  if (r.code == 421) return {End::misdirected, std::nullopt};
-  if (not_run && r.code >= 400) return {End::not_run, std::nullopt};
-  if (r.code < 300 && !sealed) return {End::broken, Drop::no_seal};
-  if (promise_code(r.code) || not_run) return {End::broken, Drop::bare_promise};
-  return {End::whole, std::nullopt};
+  if (!named) return {AttemptResult::broken, ResponseRejection::no_id};
+  if (r.code == 421) return {AttemptResult::misdirected, std::nullopt};
+  if (not_run && r.code >= 400) return {AttemptResult::not_run, std::nullopt};
+  if (r.code < 300 && !sealed) return {AttemptResult::broken, ResponseRejection::no_seal};
+  if (promise_code(r.code) || not_run) return {AttemptResult::broken, ResponseRejection::bare_promise};
+  return {AttemptResult::whole, std::nullopt};
 }
 
 }  // namespace dockbend
--- a/packages/request/include/request/admission.hpp
+++ b/packages/request/include/request/admission.hpp
@@ -11,39 +11,40 @@
 
 namespace dockbend {
 
-struct Arrival {
-  Heads const& heads;
+struct IncomingRequest {
+  Headers const& heads;
   std::string_view target;
   std::size_t body = 0;
   bool chunks = false;  // its method may come with a body in chunks
 };
 
-struct Admitted {
-  LaneP lane;
-  TenantP tenant;                        // null: the lane is keyless, or there are no customers
+struct AdmittedRequest {
+  RoutePtr route;
+  TenantPtr tenant;                      // null: the lane is keyless, or there are no customers
   bool gated = false;                    // there are customers: the client's key stays here
   std::string key;                       // of the operation; two partners may use the same words
   std::string const* service = nullptr;  // of the lane
   std::vector<std::string> homes;
   bool repeatable = false, upload = false;
   u32 rank = 0;
-  Secs left = 0;
+  Seconds left = 0;
 };
 
 // Bodies over this are uploads: dear to carry far, and not begun on the way out.
-constexpr std::size_t upload_bytes = 16384;
+constexpr std::size_t kUploadBytes = 16384;
 
-struct Admission {
+struct AdmissionResult {
   std::string id;  // of the attempt, as far as it is known
-  Verdict no;      // if not ok
+  LocalReply no;   // if not ok
   char const* why = nullptr;
-  std::optional<Admitted> ok;
+  std::optional<AdmittedRequest> ok;
 };
 // drains: on its way out for maintenance; draw: 0 to 1, picks among a lane's services. The
 // configuration is null until there is one.
-Admission admit(Arrival const& a, Compiled const* man, LimitsDef const& limits, bool drains, double draw);
+AdmissionResult admit(IncomingRequest const& a, CompiledConfiguration const* man, LimitsConfig const& limits,
+                      bool drains, double draw);
 
 // The bytes of the head's fields.
-std::size_t size_of(Heads const& h);
+std::size_t size_of(Headers const& h);
 
 }  // namespace dockbend
--- a/packages/request/include/request/request_machine.hpp
+++ b/packages/request/include/request/request_machine.hpp
@@ -10,9 +10,9 @@
 namespace dockbend {
 
 // What becomes of the claim on a key. not_run gives it back, and needs a proof.
-enum class ClaimEnd : u8 { none, not_run, lost, returned };
+enum class ClaimDisposition : u8 { none, not_run, lost, returned };
 
-struct Step {
+struct RequestAction {
   enum class Do : u8 {
     wait,    // for the next event
     claim,   // ask the agent for the key
@@ -22,86 +22,92 @@
     say,     // the verdict goes to the client
   };
   Do what = Do::wait;
-  Verdict verdict;
+  LocalReply verdict;
   char const* why = nullptr;  // for the log
-  ClaimEnd claim = ClaimEnd::none;
+  ClaimDisposition claim = ClaimDisposition::none;
   bool refund = false;  // the partner's token goes back
 };
 
 // What each promise rests on. Tests put a fault in place of one of these.
-struct Rules {
-  static Judged examine(Reply const& r, std::string_view id) { return dockbend::examine(r, id); }
-  static bool proves_not_run(End e) { return surely_not_run(e); }
-  static bool may_refuse(Course const& c) { return !c.maybe_run(); }
-  static bool may_give_back(Course const& c) { return !c.maybe_run(); }
-  static bool may_go_on(Course const& c, Secs now) { return c.may_try_again(now); }
+struct RequestRules {
+  static ResponseCheck examine(UpstreamResponse const& r, std::string_view id) { return dockbend::examine(r, id); }
+  static bool proves_not_run(AttemptResult e) { return surely_not_run(e); }
+  static bool may_refuse(RetryState const& c) { return !c.maybe_run(); }
+  static bool may_give_back(RetryState const& c) { return !c.maybe_run(); }
+  static bool may_go_on(RetryState const& c, Seconds now) { return c.may_try_again(now); }
 };
 
 // Invariants: pass, repeat or say comes once, and after it every event comes to nothing;
 // a refusal (429, 503) is said, and a claim or token given back, only if nothing may have
 // run; an event that does not fit the phase changes nothing.
-template <class P = Rules>
-class BasicRequest {
+template <class P = RequestRules>
+class BasicRequestMachine {
  public:
   enum class Phase : u8 { budget, claim, choice, attempt, over };
 
-  BasicRequest() = default;
-  BasicRequest(std::string id, bool keyed, Course c) : id_(std::move(id)), keyed_(keyed), course_(c) {}
+  BasicRequestMachine() = default;
+  BasicRequestMachine(std::string id, bool keyed, RetryState c) : id_(std::move(id)), keyed_(keyed), course_(c) {}
 
   std::string const& id() const { return id_; }
-  Course const& course() const { return course_; }
+  RetryState const& course() const { return course_; }
   Phase phase() const { return phase_; }
   bool granted() const { return granted_; }
 
   // ---- the partner's budget ----
-  Step admitted() {
+  RequestAction admitted() {
     if (phase_ != Phase::budget) return {};
     phase_ = keyed_ ? Phase::claim : Phase::choice;
-    return go(keyed_ ? Step::Do::claim : Step::Do::choose);
+    return go(keyed_ ? RequestAction::Do::claim : RequestAction::Do::choose);
+  }
+  RequestAction overdrawn(Seconds wait) {
+    return phase_ == Phase::budget ? say(verdict_of(429, wait)) : RequestAction{};
   }
-  Step overdrawn(Secs wait) { return phase_ == Phase::budget ? say(verdict_of(429, wait)) : Step{}; }
 
   // ---- the claim on its key ----
-  Step claim_granted() {
+  RequestAction claim_granted() {
     if (phase_ != Phase::claim) return {};
     granted_ = true;
     phase_ = Phase::choice;
-    return go(Step::Do::choose);
+    return go(RequestAction::Do::choose);
   }
-  Step claim_repeated() {
+  RequestAction claim_repeated() {
     if (phase_ != Phase::claim) return {};
-    Step s = go(Step::Do::repeat);
+    RequestAction s = go(RequestAction::Do::repeat);
     phase_ = Phase::over;
     s.refund = true;  // what was answered before costs nothing
     return s;
   }
   // at work: 409; lost: 502; unavailable: 503.
-  Step claim_refused(Verdict v, char const* why = nullptr) { return phase_ == Phase::claim ? say(v, why) : Step{}; }
+  RequestAction claim_refused(LocalReply v, char const* why = nullptr) {
+    return phase_ == Phase::claim ? say(v, why) : RequestAction{};
+  }
   // No word may come any more: whatever was granted meanwhile is given back.
-  Step claim_unknown(Secs wait) {
+  RequestAction claim_unknown(Seconds wait) {
     if (phase_ != Phase::claim) return {};
-    Step s = say(verdict_of(503, wait));
-    s.claim = ClaimEnd::not_run;
+    RequestAction s = say(verdict_of(503, wait));
+    s.claim = ClaimDisposition::not_run;
     return s;
   }
 
   // ---- attempts ----
   // Nobody takes it.
-  Step none(Secs now, Secs wait, char const* why) { return phase_ == Phase::choice ? give_up(now, wait, why) : Step{}; }
-  void began(Secs now, Secs patience, Secs connect) {
+  RequestAction none(Seconds now, Seconds wait, char const* why) {
+    return phase_ == Phase::choice ? give_up(now, wait, why) : RequestAction{};
+  }
+  void began(Seconds now, Seconds patience, Seconds connect) {
     phase_ = Phase::attempt;
     course_.began(now, patience, connect);
   }
-  Judged judge(Reply const& r) const { return P::examine(r, id_); }
+  ResponseCheck judge(UpstreamResponse const& r) const { return P::examine(r, id_); }
   // spend: asks the budget of further attempts; called at most once, if one is due.
   template <class F>
-  Step ended(End e, Secs now, Secs wait, F spend) {
+  RequestAction ended(AttemptResult e, Seconds now, Seconds wait, F spend) {
     if (phase_ != Phase::attempt) return {};
     course_.ended(e, P::proves_not_run(e));
-    if (e == End::whole) {
-      Step s = go(Step::Do::pass);
+    if (e == AttemptResult::whole) {
+      RequestAction s = go(RequestAction::Do::pass);
       phase_ = Phase::over;
-      if (granted_) s.claim = ClaimEnd::returned;
+      if (granted_) s.claim = ClaimDisposition::returned;
       return s;
     }
     phase_ = Phase::choice;
@@ -110,7 +116,7 @@
       if (!spend()) return give_up(now, wait, "tries used up");
       course_.paid();
     }
-    return go(Step::Do::choose);
+    return go(RequestAction::Do::choose);
   }
   // Replaces the attempt that is at work by a retry, if the retry is certain. Asked in this
   // order, each only if all before it said yes: the course itself; reserve: is a server chosen
@@ -118,47 +124,48 @@
   // that reserve chose, without choosing again. False: nothing has changed, and the attempt
   // is waited for. terminating: a SIGTERM has arrived, after which none is broken off.
   template <class R, class F>
-  bool replace_attempt(Secs now, bool terminating, R reserve, F spend) {
+  bool replace_attempt(Seconds now, bool terminating, R reserve, F spend) {
     if (phase_ != Phase::attempt || terminating || !course_.may_replace(now)) return false;
     if (!reserve() || !spend()) return false;
-    course_.ended(End::silent, P::proves_not_run(End::silent));
+    course_.ended(AttemptResult::silent, P::proves_not_run(AttemptResult::silent));
     course_.paid();
     phase_ = Phase::choice;
     return true;
   }
   // Its time is over.
-  Step expired(bool sent) {
+  RequestAction expired(bool sent) {
     if (phase_ == Phase::claim) return claim_unknown(0.2);
     if (phase_ == Phase::over) return {};
-    if (phase_ == Phase::attempt && sent) course_.ended(End::silent, P::proves_not_run(End::silent));
+    if (phase_ == Phase::attempt && sent)
+      course_.ended(AttemptResult::silent, P::proves_not_run(AttemptResult::silent));
     return say(P::may_refuse(course_) ? verdict_of(503, 0.1) : verdict_of(504));
   }
 
  private:
-  static Step go(Step::Do d) {
-    Step s;
+  static RequestAction go(RequestAction::Do d) {
+    RequestAction s;
     s.what = d;
     return s;
   }
-  Step give_up(Secs now, Secs wait, char const* why) {
+  RequestAction give_up(Seconds now, Seconds wait, char const* why) {
     if (P::may_refuse(course_)) return say(verdict_of(503, wait), why);
     return say(verdict_of(course_.deadline() - now < 0.01 ? 504 : 502), why);
   }
-  Step say(Verdict v, char const* why = nullptr) {
+  RequestAction say(LocalReply v, char const* why = nullptr) {
     phase_ = Phase::over;
-    Step s = go(Step::Do::say);
+    RequestAction s = go(RequestAction::Do::say);
     s.verdict = v;
     s.why = why;
     s.refund = !course_.maybe_run();
-    if (granted_) s.claim = P::may_give_back(course_) ? ClaimEnd::not_run : ClaimEnd::lost;
+    if (granted_) s.claim = P::may_give_back(course_) ? ClaimDisposition::not_run : ClaimDisposition::lost;
     return s;
   }
 
   std::string id_;
   bool keyed_ = false, granted_ = false;
   Phase phase_ = Phase::budget;
-  Course course_;
+  RetryState course_;
 };
-using Request = BasicRequest<>;
+using RequestMachine = BasicRequestMachine<>;
 
 }  // namespace dockbend
--- a/packages/request/include/request/request_table.hpp
+++ b/packages/request/include/request/request_table.hpp
@@ -32,7 +32,7 @@
   T* on(Handle owner, C const* chan) {
     T* const t = slab_.get(owner);
     if (t != nullptr && t->chan == chan) return t;
-    fence_.drop(Drop::late_answer);
+    fence_.drop(ResponseRejection::late_answer);
     return nullptr;
   }
   u32 ask(T& t) {
@@ -49,12 +49,12 @@
     auto const it = asks_.find(tag);
     T* const t = it == asks_.end() ? nullptr : slab_.get(it->second);
     if (t != nullptr && !mine(*t)) {
-      fence_.drop(Drop::late_claim);
+      fence_.drop(ResponseRejection::late_claim);
       return nullptr;
     }
     if (it != asks_.end()) asks_.erase(it);
     if (t == nullptr || t->tag != tag) {
-      fence_.drop(Drop::late_claim);
+      fence_.drop(ResponseRejection::late_claim);
       return nullptr;
     }
     t->tag = 0;
@@ -77,12 +77,12 @@
   void each(F f) const {
     slab_.each(f);
   }
-  Fence& fence() { return fence_; }
+  ResponseFilter& fence() { return fence_; }
 
  private:
   Slab<T, Turns> slab_;
   std::unordered_map<u32, Handle> asks_;
-  Fence fence_;
+  ResponseFilter fence_;
   u32 next_ = 0;
 };
 
--- a/packages/request/include/request/response_filter.hpp
+++ b/packages/request/include/request/response_filter.hpp
@@ -7,7 +7,7 @@
 
 namespace dockbend {
 
-enum class Drop : u8 {
+enum class ResponseRejection : u8 {
   other_id,      // an answer that bears another request's id
   no_id,         // one that bears none: it may be anybody's
   two_ids,       // one that bears two
@@ -20,18 +20,18 @@
   other_key,     // a first answer of another key
   count,
 };
-char const* drop_name(Drop d);
+char const* drop_name(ResponseRejection d);
 
 // Invariant: totals only grow.
-class Fence {
+class ResponseFilter {
  public:
-  void drop(Drop d) { ++n_[static_cast<std::size_t>(d)]; }
-  u64 dropped(Drop d) const { return n_[static_cast<std::size_t>(d)]; }
+  void drop(ResponseRejection d) { ++n_[static_cast<std::size_t>(d)]; }
+  u64 dropped(ResponseRejection d) const { return n_[static_cast<std::size_t>(d)]; }
   // What came since it was last asked, as `cause n, cause n`; empty: nothing.
   std::string since();
 
  private:
-  std::array<u64, static_cast<std::size_t>(Drop::count)> n_{}, said_{};
+  std::array<u64, static_cast<std::size_t>(ResponseRejection::count)> n_{}, said_{};
 };
 
 }  // namespace dockbend
--- a/packages/request/include/request/retry_state.hpp
+++ b/packages/request/include/request/retry_state.hpp
@@ -10,30 +10,30 @@
 // Invariants: arrivals <= tries; once maybe_run() it stays so, and an errand that
 // is not repeatable is then never sent again; tries that never left a machine
 // count as tries, not as arrivals.
-class Course {
+class RetryState {
  public:
-  Course() = default;
-  Course(bool repeatable, u32 max_tries, Secs deadline)
-      : repeatable_(repeatable), max_(std::max<u32>(1, max_tries)), deadline_(deadline) {}
+  RetryState() = default;
+  RetryState(bool repeatable, u32 max_attempts, Seconds deadline)
+      : repeatable_(repeatable), max_(std::max<u32>(1, max_attempts)), deadline_(deadline) {}
 
   bool repeatable() const { return repeatable_; }
   bool maybe_run() const { return maybe_run_; }
-  u32 tries() const { return tries_; }
+  u32 attempts() const { return attempts_; }
   u32 arrivals() const { return arrivals_; }
-  Secs deadline() const { return deadline_; }
-  Secs try_at() const { return try_at_; }
+  Seconds deadline() const { return deadline_; }
+  Seconds attempt_started_at() const { return attempt_started_at_; }
 
   // patience: how long this try is worth waiting for while another server could
   // have it; connect: how long until a machine that took no byte is not there.
-  void began(Secs now, Secs patience, Secs connect) {
-    ++tries_;
-    try_at_ = now;
+  void began(Seconds now, Seconds patience, Seconds connect) {
+    ++attempts_;
+    attempt_started_at_ = now;
     limit_ = now + patience;
     connect_ = now + connect;
   }
-  void ended(End e) { ended(e, surely_not_run(e)); }
-  void ended(End e, bool not_run) {
-    if (e != End::unsent) {
+  void ended(AttemptResult e) { ended(e, surely_not_run(e)); }
+  void ended(AttemptResult e, bool not_run) {
+    if (e != AttemptResult::unsent) {
       ++arrivals_;
       paid_ = false;  // its budget token is used up
     }
@@ -42,10 +42,10 @@
 
   // May it go to another server, as far as it alone decides? The budget of all
   // proxies is asked after this.
-  bool may_try_again(Secs now) const {
+  bool may_try_again(Seconds now) const {
     if (maybe_run_ && !repeatable_) return false;
     // A try that never left is no arrival; still, it ends some time.
-    if (tries_ >= max_ + 2 || arrivals_ >= max_) return false;
+    if (attempts_ >= max_ + 2 || arrivals_ >= max_) return false;
     return deadline_ - now >= 0.01;
   }
   // A budget token pays for an arrival: a retry that reached no server keeps its token
@@ -55,13 +55,13 @@
   void paid() { paid_ = true; }
 
   // Would a retry be allowed if the attempt at work were broken off now? Only then may it be.
-  bool may_replace(Secs now) const {
-    return repeatable_ && arrivals_ + 1 < max_ && tries_ < max_ + 2 && deadline_ - now >= 0.01;
+  bool may_replace(Seconds now) const {
+    return repeatable_ && arrivals_ + 1 < max_ && attempts_ < max_ + 2 && deadline_ - now >= 0.01;
   }
 
   enum class Due { wait, expired, unsent, late };
   // What a timer that fired means. late: may be tried elsewhere, if it is worth it.
-  Due due(Secs now, bool at_server, bool sent, bool draining) const {
+  Due due(Seconds now, bool at_server, bool sent, bool draining) const {
     if (now >= deadline_ - 0.001) return Due::expired;
     if (!at_server) return Due::wait;
     if (!sent) return now >= connect_ - 0.001 ? Due::unsent : Due::wait;
@@ -70,7 +70,7 @@
     return Due::wait;
   }
   // When to look again.
-  Secs next(Secs now, bool at_server, bool sent) const {
+  Seconds next(Seconds now, bool at_server, bool sent) const {
     if (!at_server) return deadline_;
     if (!sent) return std::min(deadline_, std::max(connect_, now + 0.01));
     if (may_replace(now)) return std::min(deadline_, std::max(limit_, now + 0.05));
@@ -79,8 +79,8 @@
 
  private:
   bool repeatable_ = false, maybe_run_ = false, paid_ = false;
-  u32 max_ = 1, tries_ = 0, arrivals_ = 0;
-  Secs deadline_ = 0, try_at_ = 0, limit_ = 0, connect_ = 0;
+  u32 max_ = 1, attempts_ = 0, arrivals_ = 0;
+  Seconds deadline_ = 0, attempt_started_at_ = 0, limit_ = 0, connect_ = 0;
 };
 
 }  // namespace dockbend
--- a/packages/rollout/rollout.cpp
+++ b/packages/rollout/rollout.cpp
@@ -5,25 +5,25 @@
 
 namespace dockbend {
 
-char const* phase_str(RollPhase p) {
+char const* phase_str(RolloutPhase p) {
   switch (p) {
-    case RollPhase::holding: return "holding";
-    case RollPhase::paused: return "paused";
-    case RollPhase::stopped: return "stopped";
-    case RollPhase::committing: return "committing";
-    case RollPhase::done: return "done";
-    case RollPhase::fell_back: return "fell back";
-    case RollPhase::aborted: return "aborted";
-    case RollPhase::overtaken: return "overtaken";
+    case RolloutPhase::holding: return "holding";
+    case RolloutPhase::paused: return "paused";
+    case RolloutPhase::stopped: return "stopped";
+    case RolloutPhase::committing: return "committing";
+    case RolloutPhase::done: return "done";
+    case RolloutPhase::fell_back: return "fell back";
+    case RolloutPhase::aborted: return "aborted";
+    case RolloutPhase::overtaken: return "overtaken";
   }
   return "unknown";
 }
 
-bool is_over(RollPhase p) {
-  return p >= RollPhase::done;
+bool is_over(RolloutPhase p) {
+  return p >= RolloutPhase::done;
 }
 
-Rollout::Rollout(u64 id, RolloutPlan const& plan, Secs now)
+Rollout::Rollout(u64 id, RolloutOptions const& plan, Seconds now)
     : id_(id), plan_(plan), since_(now), until_(now + plan.giveUpS) {}
 
 std::vector<std::string> spread_order(std::map<std::string, std::string> const& site_zone) {
@@ -37,15 +37,15 @@
   return out;
 }
 
-Rollout::Step Rollout::step(Secs now, std::map<std::string, std::string> const& in_touch) {
-  Step st;
+Rollout::Actions Rollout::step(Seconds now, std::map<std::string, std::string> const& in_touch) {
+  Actions st;
   if (drop_due_) {
     drop_due_ = false;
     st.drop = true;
   }
-  if (is_over(phase_) || phase_ == RollPhase::committing) return st;
+  if (is_over(phase_) || phase_ == RolloutPhase::committing) return st;
   if (now >= until_) {
-    phase_ = RollPhase::fell_back;
+    phase_ = RolloutPhase::fell_back;
     st.drop = true;
     return st;
   }
@@ -66,19 +66,19 @@
       st.send.push_back(order[i]);
     }
     wanted_ = static_cast<std::size_t>(std::ceil(plan_.enough * static_cast<double>(n) - 1e-9));
-    if (phase_ == RollPhase::stopped) return st;
+    if (phase_ == RolloutPhase::stopped) return st;
     if (holding_ < wanted_) {
-      phase_ = now - since_ > plan_.stageS ? RollPhase::paused : RollPhase::holding;
+      phase_ = now - since_ > plan_.stageS ? RolloutPhase::paused : RolloutPhase::holding;
       return st;
     }
     if (stage_ + 1 == plan_.stages.size()) {
-      phase_ = RollPhase::committing;
+      phase_ = RolloutPhase::committing;
       st.commit = true;
       return st;
     }
     ++stage_;
     since_ = now;
-    phase_ = RollPhase::holding;
+    phase_ = RolloutPhase::holding;
   }
 }
 
@@ -94,40 +94,40 @@
 }
 
 bool Rollout::pause() {
-  if (phase_ != RollPhase::holding && phase_ != RollPhase::paused) return false;
-  phase_ = RollPhase::stopped;
+  if (phase_ != RolloutPhase::holding && phase_ != RolloutPhase::paused) return false;
+  phase_ = RolloutPhase::stopped;
   return true;
 }
 
-bool Rollout::resume(Secs now) {
-  if (phase_ != RollPhase::stopped) return false;
-  phase_ = RollPhase::holding;
+bool Rollout::resume(Seconds now) {
+  if (phase_ != RolloutPhase::stopped) return false;
+  phase_ = RolloutPhase::holding;
   since_ = now;
   return true;
 }
 
 bool Rollout::abort() {
-  if (is_over(phase_) || phase_ == RollPhase::committing) return false;
-  phase_ = RollPhase::aborted;
+  if (is_over(phase_) || phase_ == RolloutPhase::committing) return false;
+  phase_ = RolloutPhase::aborted;
   drop_due_ = true;
   return true;
 }
 
-bool Rollout::heed(RollOrder o, Secs now) {
-  bool const ok = o == RollOrder::pause ? pause() : o == RollOrder::resume ? resume(now) : abort();
+bool Rollout::heed(RolloutCommand o, Seconds now) {
+  bool const ok = o == RolloutCommand::pause ? pause() : o == RolloutCommand::resume ? resume(now) : abort();
   if (ok) heeded_.insert(o);
   return ok || heeded_.count(o) > 0;
 }
 
 void Rollout::overtaken() {
-  if (is_over(phase_) || phase_ == RollPhase::committing) return;
-  phase_ = RollPhase::overtaken;
+  if (is_over(phase_) || phase_ == RolloutPhase::committing) return;
+  phase_ = RolloutPhase::overtaken;
   drop_due_ = true;
 }
 
 void Rollout::committed(bool stands) {
-  if (phase_ != RollPhase::committing) return;
-  phase_ = stands ? RollPhase::done : RollPhase::fell_back;
+  if (phase_ != RolloutPhase::committing) return;
+  phase_ = stands ? RolloutPhase::done : RolloutPhase::fell_back;
   drop_due_ = !stands;
 }
 
--- a/packages/server_registry/include/server_registry/server_registry.hpp
+++ b/packages/server_registry/include/server_registry/server_registry.hpp
@@ -9,119 +9,122 @@
 
 namespace dockbend {
 
-enum class Standing : u8 { ready = 1, draining = 2, gone = 3 };
+enum class ServerState : u8 { ready = 1, draining = 2, gone = 3 };
 
 // What is passed on of one server's life. Invariants: an id names one life for
 // ever; of two rows of one id the higher seq holds, at one seq the higher
 // standing; `left` (a seq no beat reaches) is final.
-struct Row {
-  DB_RECORD(Row, (std::string, id), (std::string, service), (std::string, address), (std::string, zone),
-            (double, capacity), (Standing, state), (u64, seq), (double, cold_left), (std::string, owner),
+struct ServerRecord {
+  DB_RECORD(ServerRecord, (std::string, id), (std::string, service), (std::string, address), (std::string, zone),
+            (double, capacity), (ServerState, state), (u64, seq), (double, cold_left), (std::string, owner),
             (std::string, generation));
 };
 
-u64 constexpr left_seq = ~0ULL >> 1;
+u64 constexpr kDepartedSequence = ~0ULL >> 1;
 
-class Roll {
+class ServerRegistry {
  public:
   struct Entry {
-    Row row;
-    Secs cold_until = 0;
-    Secs changed = 0;  // when we last learned something of it
-    Secs beat = 0;     // when its owner last heard it (owner only)
+    ServerRecord row;
+    Seconds cold_until = 0;
+    Seconds changed = 0;  // when we last learned something of it
+    Seconds beat = 0;     // when its owner last heard it (owner only)
   };
 
   // From our own disk, after a start: nobody is late yet.
-  void load(Row const& r, Secs now);
+  void load(ServerRecord const& r, Seconds now);
   // True if the row is news that others and the proxies should hear of.
-  bool join(Row const& r, Secs now);
+  bool join(ServerRecord const& r, Seconds now);
   // A beat heard here: true if others should hear of it.
-  bool beat(Row r, std::string const& me, Secs now);
+  bool beat(ServerRecord r, std::string const& me, Seconds now);
   // Owner only: rows silent for too long become gone; they are returned.
-  std::vector<Row> expire(std::string const& me, Secs silent, Secs now);
+  std::vector<ServerRecord> expire(std::string const& me, Seconds silent, Seconds now);
   // Rows whose owner was last heard before `since` become gone here.
-  std::vector<Row> expire_of(std::string const& owner, Secs now);
+  std::vector<ServerRecord> expire_of(std::string const& owner, Seconds now);
   // After a stall of our own, nobody is late.
-  void forgive(Secs now);
-  void purge(Secs older, Secs now);  // forget tombstones
+  void forgive(Seconds now);
+  void purge(Seconds older, Seconds now);  // forget tombstones
 
-  std::vector<Row> all(Secs now) const;
-  std::vector<Row> changed_since(Secs at, Secs now) const;  // at or after `at`
-  std::optional<Row> get(std::string const& id, Secs now) const;
+  std::vector<ServerRecord> all(Seconds now) const;
+  std::vector<ServerRecord> changed_since(Seconds at, Seconds now) const;  // at or after `at`
+  std::optional<ServerRecord> get(std::string const& id, Seconds now) const;
   u64 digest() const { return digest_; }
   std::unordered_map<std::string, Entry> const& entries() const { return m_; }
   // Rows that the whole lacks become gone here; their ids are returned.
-  std::vector<std::string> drop_absent(std::vector<Row> const& full, Secs older, Secs now);
+  std::vector<std::string> drop_absent(std::vector<ServerRecord> const& full, Seconds older, Seconds now);
 
  private:
-  static u64 mark(Row const& r);
-  void put(Entry& e, Row const& r, Secs now);
+  static u64 mark(ServerRecord const& r);
+  void put(Entry& e, ServerRecord const& r, Seconds now);
   std::unordered_map<std::string, Entry> m_;
   u64 digest_ = 0;  // sum of the marks of rows not gone
 };
 
 // Wire messages of the agents and directories.
-struct Hello {
-  DB_RECORD(Hello, (u32, role), (std::string, ip), (std::string, zone), (std::string, region), (std::string, front),
-            (u32, control), (Life, life), (std::string, node), (Ballot, accepted));
+struct HandshakeRequest {
+  DB_RECORD(HandshakeRequest, (u32, role), (std::string, ip), (std::string, zone), (std::string, region),
+            (std::string, front), (u32, control), (Incarnation, incarnation), (std::string, node), (Ballot, accepted));
 };
-struct HelloR {
-  DB_RECORD(HelloR, (std::vector<std::string>, mates), (Ballot, bal), (Life, life), (Ballot, accepted), (double, wall));
+struct HandshakeResponse {
+  DB_RECORD(HandshakeResponse, (std::vector<std::string>, controllers), (Ballot, ballot), (Incarnation, incarnation),
+            (Ballot, accepted), (double, wall));
 };
 // What a proxy that is being drained says of itself; all zero otherwise, and so not sent.
 // Invariant: keyed and uploads count what is open, and keyed also what was answered so
 // lately that its answer may not be stored yet; since is how long ago, by its own clock, it
 // was first told that the directories name it no more.
-struct DrainWord {
-  DB_RECORD(DrainWord, (u32, stage), (u64, life), (u32, keyed), (u32, uploads), (double, since));
+struct ProxyDrainStatus {
+  DB_RECORD(ProxyDrainStatus, (u32, stage), (u64, incarnation), (u32, keyed), (u32, uploads), (double, since));
 };
 // What it is told: to drain, if it is the life that is meant.
-struct DrainSaid {
-  DB_RECORD(DrainSaid, (u32, stage), (u64, life));
+struct DrainInstruction {
+  DB_RECORD(DrainInstruction, (u32, stage), (u64, incarnation));
 };
 // Registration and keepalive. primary: this directory tells the others of the site. strays:
 // what its agent has dropped because no open question fits it.
-struct SiteBeat {
-  DB_RECORD(SiteBeat, (std::string, front), (std::string, zone), (std::string, region), (bool, ready), (double, load),
-            (Ballot, bal), (bool, primary), (DrainWord, drain), (u64, strays));
+struct ProxyHeartbeat {
+  DB_RECORD(ProxyHeartbeat, (std::string, front), (std::string, zone), (std::string, region), (bool, ready),
+            (double, load), (Ballot, ballot), (bool, primary), (ProxyDrainStatus, drain), (u64, unmatched));
 };
 // What a directory tells its mates of the sites it is the primary of. age: since the
 // site was last heard, so that a row ends when it would have ended there.
-struct SiteRow {
-  DB_RECORD(SiteRow, (std::string, front), (std::string, zone), (std::string, region), (bool, ready), (double, load),
-            (double, age), (bool, gone), (DrainWord, drain), (bool, current));
+struct ProxyRecord {
+  DB_RECORD(ProxyRecord, (std::string, front), (std::string, zone), (std::string, region), (bool, ready),
+            (double, load), (double, age), (bool, gone), (ProxyDrainStatus, drain), (bool, current));
 };
 // For other regions: only what changed, and that all the others are as they were. relay: to be
 // passed on to the receiver's region; marks: of the fronts that origin is the primary of.
-struct SiteNote {
-  DB_RECORD(SiteNote, (std::vector<SiteRow>, rows), (std::string, origin), (bool, relay), (bool, alive), (u64, marks));
+struct ProxyGossip {
+  DB_RECORD(ProxyGossip, (std::vector<ProxyRecord>, rows), (std::string, origin), (bool, relay), (bool, alive),
+            (u64, marks));
 };
-struct ZoneCount {
-  DB_RECORD(ZoneCount, (std::string, zone), (u32, n));
+struct ZoneProxyCount {
+  DB_RECORD(ZoneProxyCount, (std::string, zone), (u32, n));
 };
-struct SiteBeatR {
-  DB_RECORD(SiteBeatR, (std::vector<ZoneCount>, sites), (Ballot, bal), (u64, digest), (bool, in_contact),
-            (double, wall), (std::vector<std::string>, relays), (DrainSaid, drain));
+struct ProxyHeartbeatResponse {
+  DB_RECORD(ProxyHeartbeatResponse, (std::vector<ZoneProxyCount>, sites), (Ballot, ballot), (u64, digest),
+            (bool, in_contact), (double, wall), (std::vector<std::string>, relays), (DrainInstruction, drain));
 };
 // True time, as the agent knows it, for its proxy.
-struct ClockSaid {
-  DB_RECORD(ClockSaid, (double, wall));
+struct ClockReading {
+  DB_RECORD(ClockReading, (double, wall));
 };
-struct Feed {
-  DB_RECORD(Feed, (bool, on), (Ballot, have));
+struct SubscribeRequest {
+  DB_RECORD(SubscribeRequest, (bool, on), (Ballot, have));
 };
-struct News {
-  DB_RECORD(News, (std::string, state), (std::string, delta), (bool, rows_full), (std::vector<Row>, rows),
-            (std::vector<ZoneCount>, sites));
+struct StateUpdate {
+  DB_RECORD(StateUpdate, (std::string, state), (std::string, delta), (bool, rows_full),
+            (std::vector<ServerRecord>, rows), (std::vector<ZoneProxyCount>, sites));
 };
-struct Digest {
-  DB_RECORD(Digest, (u64, digest), (Ballot, bal), (std::vector<std::string>, mates), (Life, life), (Ballot, accepted),
-            (double, wall), (bool, fit), (std::string, node), (double, contact_left));
+struct GossipDigest {
+  DB_RECORD(GossipDigest, (u64, digest), (Ballot, ballot), (std::vector<std::string>, controllers),
+            (Incarnation, incarnation), (Ballot, accepted), (double, wall), (bool, fit), (std::string, node),
+            (double, contact_left));
 };
 
 // Tells a lasting difference of two rolls from news that is still on its way: the
 // whole is sent only if both sides stood still and yet differ, or differed for long.
-class Mismatch {
+class DigestMismatchDetector {
  public:
   // True if the whole should be fetched now.
   bool hear(u64 mine, u64 theirs) {
@@ -137,7 +140,7 @@
     n_ = still_ = 0;
     return true;
   }
-  void reset() { *this = Mismatch(); }
+  void reset() { *this = DigestMismatchDetector(); }
 
  private:
   int n_ = 0, still_ = 0;
--- a/packages/server_registry/server_registry.cpp
+++ b/packages/server_registry/server_registry.cpp
@@ -5,25 +5,25 @@
 
 namespace dockbend {
 
-u64 Roll::mark(Row const& r) {
+u64 ServerRegistry::mark(ServerRecord const& r) {
   return hash64(r.id + "|" + r.service + "|" + r.address + "|" + r.owner, static_cast<u64>(r.state));
 }
 
-void Roll::put(Entry& e, Row const& r, Secs now) {
-  if (!e.row.id.empty() && e.row.state != Standing::gone) digest_ -= mark(e.row);
+void ServerRegistry::put(Entry& e, ServerRecord const& r, Seconds now) {
+  if (!e.row.id.empty() && e.row.state != ServerState::gone) digest_ -= mark(e.row);
   e.row = r;
   e.cold_until = now + r.cold_left;
   e.changed = now;
-  if (r.state != Standing::gone) digest_ += mark(r);
+  if (r.state != ServerState::gone) digest_ += mark(r);
 }
 
-void Roll::load(Row const& r, Secs now) {
+void ServerRegistry::load(ServerRecord const& r, Seconds now) {
   Entry& e = m_[r.id];
   put(e, r, now);
   e.beat = now;
 }
 
-bool Roll::join(Row const& r, Secs now) {
+bool ServerRegistry::join(ServerRecord const& r, Seconds now) {
   auto const it = m_.find(r.id);
   if (it == m_.end()) {
     put(m_[r.id], r, now);
@@ -38,7 +38,7 @@
   return news;
 }
 
-bool Roll::beat(Row r, std::string const& me, Secs now) {
+bool ServerRegistry::beat(ServerRecord r, std::string const& me, Seconds now) {
   r.owner = me;
   bool const news = join(r, now);
   auto const it = m_.find(r.id);
@@ -46,42 +46,42 @@
   return news;
 }
 
-std::vector<Row> Roll::expire(std::string const& me, Secs silent, Secs now) {
-  std::vector<Row> out;
+std::vector<ServerRecord> ServerRegistry::expire(std::string const& me, Seconds silent, Seconds now) {
+  std::vector<ServerRecord> out;
   for (auto& [id, e] : m_) {
-    if (e.row.owner != me || e.row.state == Standing::gone || now - e.beat < silent) continue;
-    Row r = e.row;
-    r.state = Standing::gone;
+    if (e.row.owner != me || e.row.state == ServerState::gone || now - e.beat < silent) continue;
+    ServerRecord r = e.row;
+    r.state = ServerState::gone;
     put(e, r, now);
     out.push_back(r);
   }
   return out;
 }
 
-std::vector<Row> Roll::expire_of(std::string const& owner, Secs now) {
-  std::vector<Row> out;
+std::vector<ServerRecord> ServerRegistry::expire_of(std::string const& owner, Seconds now) {
+  std::vector<ServerRecord> out;
   for (auto& [id, e] : m_) {
-    if (e.row.owner != owner || e.row.state == Standing::gone) continue;
-    Row r = e.row;
-    r.state = Standing::gone;
+    if (e.row.owner != owner || e.row.state == ServerState::gone) continue;
+    ServerRecord r = e.row;
+    r.state = ServerState::gone;
     put(e, r, now);
     out.push_back(r);
   }
   return out;
 }
 
-void Roll::forgive(Secs now) {
+void ServerRegistry::forgive(Seconds now) {
   for (auto& [id, e] : m_)
     e.beat = now;
 }
 
-void Roll::purge(Secs older, Secs now) {
+void ServerRegistry::purge(Seconds older, Seconds now) {
   for (auto it = m_.begin(); it != m_.end();)
-    it = it->second.row.state == Standing::gone && now - it->second.changed > older ? m_.erase(it) : std::next(it);
+    it = it->second.row.state == ServerState::gone && now - it->second.changed > older ? m_.erase(it) : std::next(it);
 }
 
-std::vector<Row> Roll::all(Secs now) const {
-  std::vector<Row> out;
+std::vector<ServerRecord> ServerRegistry::all(Seconds now) const {
+  std::vector<ServerRecord> out;
   out.reserve(m_.size());
   for (auto const& [id, e] : m_) {
     out.push_back(e.row);
@@ -90,8 +90,8 @@
   return out;
 }
 
-std::vector<Row> Roll::changed_since(Secs at, Secs now) const {
-  std::vector<Row> out;
+std::vector<ServerRecord> ServerRegistry::changed_since(Seconds at, Seconds now) const {
+  std::vector<ServerRecord> out;
   for (auto const& [id, e] : m_) {
     if (e.changed < at) continue;
     out.push_back(e.row);
@@ -100,23 +100,24 @@
   return out;
 }
 
-std::optional<Row> Roll::get(std::string const& id, Secs now) const {
+std::optional<ServerRecord> ServerRegistry::get(std::string const& id, Seconds now) const {
   auto const it = m_.find(id);
   if (it == m_.end()) return std::nullopt;
-  Row r = it->second.row;
+  ServerRecord r = it->second.row;
   r.cold_left = std::max(0.0, it->second.cold_until - now);
   return r;
 }
 
-std::vector<std::string> Roll::drop_absent(std::vector<Row> const& full, Secs older, Secs now) {
+std::vector<std::string> ServerRegistry::drop_absent(std::vector<ServerRecord> const& full, Seconds older,
+                                                     Seconds now) {
   std::unordered_set<std::string> have;
-  for (Row const& r : full)
+  for (ServerRecord const& r : full)
     have.insert(r.id);
   std::vector<std::string> out;
   for (auto& [id, e] : m_) {
-    if (have.count(id) > 0 || e.row.state == Standing::gone || now - e.changed < older) continue;
-    Row r = e.row;
-    r.state = Standing::gone;
+    if (have.count(id) > 0 || e.row.state == ServerState::gone || now - e.changed < older) continue;
+    ServerRecord r = e.row;
+    r.state = ServerState::gone;
     put(e, r, now);
     out.push_back(id);
   }
--- a/packages/settings/include/settings/settings.hpp
+++ b/packages/settings/include/settings/settings.hpp
@@ -11,20 +11,20 @@
 
 namespace dockbend {
 
-struct BadSetting : std::runtime_error {
+struct SettingsError : std::runtime_error {
   std::string field;
-  BadSetting(std::string f, std::string const& why) : std::runtime_error(f + ": " + why), field(std::move(f)) {}
+  SettingsError(std::string f, std::string const& why) : std::runtime_error(f + ": " + why), field(std::move(f)) {}
 };
 
-struct Addr {
+struct Address {
   std::string ip;
   u32 port = 0;
   std::string str() const { return ip + ":" + std::to_string(port); }
-  friend auto operator<=>(Addr const&, Addr const&) = default;
+  friend auto operator<=>(Address const&, Address const&) = default;
 };
 bool is_ip(std::string const& s);  // an IPv4 address in four parts
-// Throws BadSetting(field) unless s is IPV4:PORT.
-Addr parse_addr(std::string const& s, std::string const& field);
+// Throws SettingsError(field) unless s is IPV4:PORT.
+Address parse_addr(std::string const& s, std::string const& field);
 
 struct Bounds {
   double quietS = 4, ackBoundS = 5, convergeS = 4, drainBoundS = 2.5, gracePeriodS = 6, lossSlackS = 0.2,
@@ -35,28 +35,28 @@
 
 // How a manifest change is brought out. Invariants: stages climb and end at 1;
 // 0 < enough <= 1; the times are above 0.
-struct RolloutPlan {
+struct RolloutOptions {
   std::vector<double> stages{0.3, 1.0};  // shares of the nodes, each stage with the ones before it
   double enough = 0.6;                   // of a stage's nodes in touch
-  Secs stageS = 0.7;                     // after this a stage that has not settled counts as paused
-  Secs resendS = 0.4;
-  Secs giveUpS = 0;  // 0: 0.6 of ackBoundS, so that the caller can still ask another node
+  Seconds stageS = 0.7;                  // after this a stage that has not settled counts as paused
+  Seconds resendS = 0.4;
+  Seconds giveUpS = 0;  // 0: 0.6 of ackBoundS, so that the caller can still ask another node
 };
 
 struct Settings {
-  RolloutPlan rollout;
+  RolloutOptions rollout;
   bool staged = false;
   std::string nodeName, role, machineClass, ip, zone, region, dataDir;
   std::map<std::string, std::string> zones;  // zone -> region
-  std::map<std::string, Addr> bind;
+  std::map<std::string, Address> bind;
   u32 innerFirst = 0, innerLast = 0;
   u32 agentPort = 0;  // on 127.0.0.1, between proxy and agent; 0: the second inner port
-  std::vector<Addr> seeds;
+  std::vector<Address> seeds;
   // The platform that some duties call. No address: there are none.
-  std::optional<Addr> cloud;
+  std::optional<Address> cloud;
   std::vector<std::string> cloudTasks;
-  double dutyPerS = 0;            // 0: not said
-  std::optional<Addr> drainHook;  // restarts a proxy that a pass has emptied; none: the operator does
+  double dutyPerS = 0;               // 0: not said
+  std::optional<Address> drainHook;  // restarts a proxy that a pass has emptied; none: the operator does
   bool bootstrap = false;
   double toleranceMachines = 0;                     // disks that may be lost at once
   double toleranceZones = 0, toleranceRegions = 0;  // or so many whole zones, or regions
--- a/packages/settings/settings.cpp
+++ b/packages/settings/settings.cpp
@@ -31,21 +31,21 @@
   double const d = std::strtod(v.c_str(), &end);
   // Decimal alone: strtod takes blanks, nan and hexadecimal too.
   bool const plain = !v.empty() && v.find_first_not_of("0123456789+-.eE") == std::string::npos;
-  if (!plain || end != v.c_str() + v.size() || !std::isfinite(d)) throw BadSetting(f, "not a number: '" + v + "'");
-  if (d < lo || d > hi) throw BadSetting(f, "out of range: " + v);
+  if (!plain || end != v.c_str() + v.size() || !std::isfinite(d)) throw SettingsError(f, "not a number: '" + v + "'");
+  if (d < lo || d > hi) throw SettingsError(f, "out of range: " + v);
   return d;
 }
 
 u32 port(std::string const& f, std::string const& v) {
   if (v.empty() || v.size() > 5 || v.find_first_not_of("0123456789") != std::string::npos)
-    throw BadSetting(f, "not a port: '" + v + "'");
+    throw SettingsError(f, "not a port: '" + v + "'");
   return static_cast<u32>(number(f, v, 1, 65535));
 }
 
 bool boolean(std::string const& f, std::string const& v) {
   if (v == "true") return true;
   if (v == "false") return false;
-  throw BadSetting(f, "neither true nor false: '" + v + "'");
+  throw SettingsError(f, "neither true nor false: '" + v + "'");
 }
 
 }  // namespace
@@ -55,12 +55,12 @@
   return s.find('\0') == std::string::npos && inet_pton(AF_INET, s.c_str(), &tmp) == 1;
 }
 
-Addr parse_addr(std::string const& s, std::string const& field) {
+Address parse_addr(std::string const& s, std::string const& field) {
   auto const c = s.rfind(':');
-  if (c == std::string::npos) throw BadSetting(field, "no port in '" + s + "'");
-  Addr a;
+  if (c == std::string::npos) throw SettingsError(field, "no port in '" + s + "'");
+  Address a;
   a.ip = s.substr(0, c);
-  if (!is_ip(a.ip)) throw BadSetting(field, "no IPv4 address: '" + s + "'");
+  if (!is_ip(a.ip)) throw SettingsError(field, "no IPv4 address: '" + s + "'");
   a.port = port(field, s.substr(c + 1));
   return a;
 }
@@ -89,7 +89,7 @@
                                {"tolerance.regions", &st.toleranceRegions}})
     known[k] = [dst = dst](auto const& f, auto const& v) {
       *dst = number(f, v, 0, 1e6);
-      if (*dst != std::floor(*dst)) throw BadSetting(f, "wants a whole number: " + v);
+      if (*dst != std::floor(*dst)) throw SettingsError(f, "wants a whole number: " + v);
     };
   num("limits.memoryMb", st.memoryMb);
   num("limits.diskMb", st.diskMb);
@@ -132,17 +132,17 @@
     st.rollout.stages.clear();
     for (auto const& s : split(v, ',')) {
       double const x = number(f, s, 0.001, 1);
-      if (!st.rollout.stages.empty() && x <= st.rollout.stages.back()) throw BadSetting(f, "stages must climb");
+      if (!st.rollout.stages.empty() && x <= st.rollout.stages.back()) throw SettingsError(f, "stages must climb");
       st.rollout.stages.push_back(x);
     }
-    if (st.rollout.stages.empty() || st.rollout.stages.back() != 1) throw BadSetting(f, "the last stage must be 1");
+    if (st.rollout.stages.empty() || st.rollout.stages.back() != 1) throw SettingsError(f, "the last stage must be 1");
   };
   known["innerPorts"] = [&](auto const& f, auto const& v) {
     auto const p = split(v, ',');
-    if (p.size() != 2) throw BadSetting(f, "wants FIRST,LAST");
+    if (p.size() != 2) throw SettingsError(f, "wants FIRST,LAST");
     st.innerFirst = port(f, p[0]);
     st.innerLast = port(f, p[1]);
-    if (st.innerLast < st.innerFirst + 1) throw BadSetting(f, "needs at least two ports");
+    if (st.innerLast < st.innerFirst + 1) throw SettingsError(f, "needs at least two ports");
   };
   known["agentPort"] = [&](auto const& f, auto const& v) { st.agentPort = port(f, v); };
   known["seedAddrs"] = [&](auto const& f, auto const& v) {
@@ -159,13 +159,13 @@
       line.pop_back();
     if (line.empty() || line[0] == '#') continue;
     auto const eq = line.find('=');
-    if (eq == std::string::npos) throw BadSetting("settings", "no '=' in line '" + line.substr(0, 60) + "'");
+    if (eq == std::string::npos) throw SettingsError("settings", "no '=' in line '" + line.substr(0, 60) + "'");
     std::string const k = line.substr(0, eq), v = line.substr(eq + 1);
     if (known.count(k) == 0 && k.rfind("zones.", 0) != 0 && k.rfind("bind.", 0) != 0) continue;
-    if (has_control(k) || has_control(v)) throw BadSetting(k.substr(0, k.find('.')), "holds a control character");
+    if (has_control(k) || has_control(v)) throw SettingsError(k.substr(0, k.find('.')), "holds a control character");
     // Which of two would be meant can't be known. The same said twice does no harm.
     if (auto const [g, fresh] = given.try_emplace(k, v); !fresh && g->second != v)
-      throw BadSetting(k, "given twice: '" + g->second + "' and '" + v + "'");
+      throw SettingsError(k, "given twice: '" + g->second + "' and '" + v + "'");
     if (k.rfind("zones.", 0) == 0) {
       st.zones[k.substr(6)] = v;
     } else if (k.rfind("bind.", 0) == 0) {
@@ -175,19 +175,20 @@
     }
   }
   if (st.rollout.giveUpS == 0) st.rollout.giveUpS = 0.6 * st.bounds.ackBoundS;
-  if (!is_ip(st.ip)) throw BadSetting("ip", "missing or no IPv4 address");
-  if (st.innerFirst == 0) throw BadSetting("innerPorts", "missing");
-  if (st.zone.empty()) throw BadSetting("zone", "missing");
+  if (!is_ip(st.ip)) throw SettingsError("ip", "missing or no IPv4 address");
+  if (st.innerFirst == 0) throw SettingsError("innerPorts", "missing");
+  if (st.zone.empty()) throw SettingsError("zone", "missing");
   if (st.region.empty()) st.region = st.region_of(st.zone);
   if (st.zones.count(st.zone) > 0 && st.region_of(st.zone) != st.region)
-    throw BadSetting("region", "'" + st.region + "', but zones." + st.zone + " says '" + st.region_of(st.zone) + "'");
+    throw SettingsError("region",
+                        "'" + st.region + "', but zones." + st.zone + " says '" + st.region_of(st.zone) + "'");
   if (st.zones.find(st.zone) == st.zones.end()) st.zones[st.zone] = st.region;
   return st;
 }
 
 Settings load_settings(std::string const& path) {
   std::ifstream f(path);
-  if (!f) throw BadSetting(path, "can't be read");
+  if (!f) throw SettingsError(path, "can't be read");
   std::ostringstream ss;
   ss << f.rdbuf();
   return parse_settings(ss.str());
