--- a/packages/storage/async_store.cpp
+++ b/packages/storage/async_store.cpp
@@ -8,16 +8,16 @@
 
 namespace dockbend {
 
-Vellum::Vellum(event_base* eb, std::string const& dir) : store_(dir) {
+AsyncStore::AsyncStore(event_base* loop, std::string const& dir) : store_(dir) {
   if (pipe2(pipe_, O_CLOEXEC | O_NONBLOCK) != 0) throw std::runtime_error("disk: no pipe");
   ev_ = event_new(
-      eb, pipe_[0], EV_READ | EV_PERSIST, [](evutil_socket_t, short, void* p) { static_cast<Vellum*>(p)->reap(); },
-      this);
+      loop, pipe_[0], EV_READ | EV_PERSIST,
+      [](evutil_socket_t, short, void* p) { static_cast<AsyncStore*>(p)->reap(); }, this);
   event_add(ev_, nullptr);
   th_ = std::thread([this] { run(); });
 }
 
-Vellum::~Vellum() {
+AsyncStore::~AsyncStore() {
   {
     std::lock_guard<std::mutex> const g(mu_);
     stop_ = true;
@@ -29,7 +29,7 @@
   ::close(pipe_[1]);
 }
 
-void Vellum::hand_in(Batch b) {
+void AsyncStore::hand_in(Batch b) {
   {
     std::lock_guard<std::mutex> const g(mu_);
     in_.push_back(std::move(b));
@@ -38,28 +38,28 @@
   cv_.notify_one();
 }
 
-void Vellum::find_ret(std::string const& k, Found f) {
+void AsyncStore::find_ret(std::string const& k, Found f) {
   Batch b;
   b.want = k;
   b.found = std::move(f);
   hand_in(std::move(b));
 }
 
-void Vellum::submit(std::vector<Op> ops, Done done) {
+void AsyncStore::submit(std::vector<Op> ops, Done done) {
   Batch b;
   b.ops = std::move(ops);
   b.done = std::move(done);
   hand_in(std::move(b));
 }
 
-void Vellum::write_vote(VoteWrite w, Done done) {
+void AsyncStore::write_vote(VoteWrite w, Done done) {
   Batch b;
   b.vote = std::move(w);
   b.done = std::move(done);
   hand_in(std::move(b));
 }
 
-void Vellum::submit_lazy(std::vector<Op> ops) {
+void AsyncStore::submit_lazy(std::vector<Op> ops) {
   Batch b;
   b.ops = std::move(ops);
   bool first = false;
@@ -71,7 +71,7 @@
   if (first) cv_.notify_one();  // so that the thread begins to count its moment
 }
 
-void Vellum::run() {
+void AsyncStore::run() {
   for (;;) {
     std::deque<Batch> all;
     {
@@ -82,7 +82,7 @@
       eager_ = false;
       all.swap(in_);
     }
-    std::vector<Store::Write*> writes;
+    std::vector<DiskStore::Write*> writes;
     for (Batch& b : all)
       writes.push_back(&b);
     store_.commit(writes);
@@ -99,7 +99,7 @@
   }
 }
 
-void Vellum::reap() {
+void AsyncStore::reap() {
   char buf[64];
   while (::read(pipe_[0], buf, sizeof buf) > 0) {
   }
--- a/packages/storage/disk_store.cpp
+++ b/packages/storage/disk_store.cpp
@@ -20,7 +20,7 @@
 // Beside the file, for the file alone can't tell that its last votes are gone: two slots by
 // turns, each with the number of a vote that is on disk. Not synced: it may lag, never lead.
 struct Mark {
-  DB_RECORD(Mark, (Life, life), (u64, seq));
+  DB_RECORD(Mark, (Incarnation, incarnation), (u64, seq));
 };
 std::size_t const slot_len = 64;
 
@@ -59,15 +59,15 @@
             : 0;
 }
 [[noreturn]] void newer(unsigned n) {
-  throw BadSetting("dataDir", "register.db is of layout " + std::to_string(n) + ", this program knows " +
-                                  std::to_string(Store::layout) + " and below");
+  throw SettingsError("dataDir", "register.db is of layout " + std::to_string(n) + ", this program knows " +
+                                     std::to_string(DiskStore::layout) + " and below");
 }
 u32 check_of(std::string const& k, u64 holder) {
   return static_cast<u32>(hash64(k, holder) >> 33);
 }
 }  // namespace
 
-struct Store::Db {
+struct DiskStore::Db {
   sqlite3* h = nullptr;
   sqlite3_stmt *stmt[9] = {}, *find = nullptr, *begin = nullptr, *commit = nullptr;  // stmt: by Op::What
   int mark = -1;
@@ -86,7 +86,7 @@
       case SQLITE_NOMEM:
       case SQLITE_CANTOPEN:
       case SQLITE_PERM: throw std::runtime_error(m);
-      default: throw Unreadable(m);
+      default: throw StorageCorruption(m);
     }
   }
   void exec(char const* sql) const {
@@ -143,7 +143,7 @@
   }
 };
 
-Store::Store(std::string const& dir) : dir_(dir), db_(new Db) {
+DiskStore::DiskStore(std::string const& dir) : dir_(dir), db_(new Db) {
   static int const once = sqlite3_config(SQLITE_CONFIG_MEMSTATUS, 0);
   static_cast<void>(once);
   std::string const path = dir + file_name;
@@ -183,29 +183,29 @@
   if (db_->mark >= 0 && !marked && ::fsync(db_->mark) == 0) sync_dir(dir);
 }
 
-Store::~Store() = default;
+DiskStore::~DiskStore() = default;
 
 // Layout 1 kept the value whole in one meta row. One transaction takes it over, or none.
-void Store::make_or_migrate(bool empty) {
+void DiskStore::make_or_migrate(bool empty) {
   int const had = empty ? 0 : db_->number("SELECT count(*) FROM sqlite_master WHERE name='value'");
-  if (had != 0) throw Unreadable("disk: the layout's number is gone");
+  if (had != 0) throw StorageCorruption("disk: the layout's number is gone");
   db_->exec("BEGIN IMMEDIATE");
   db_->exec("CREATE TABLE IF NOT EXISTS meta(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID");
   db_->exec("CREATE TABLE IF NOT EXISTS claim(k TEXT PRIMARY KEY, holder INTEGER, sealed INTEGER) WITHOUT ROWID");
   db_->exec("CREATE TABLE IF NOT EXISTS server(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID");
   db_->exec("CREATE TABLE IF NOT EXISTS ret(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID");
   db_->exec("CREATE TABLE value(k TEXT PRIMARY KEY, v BLOB) WITHOUT ROWID");
-  if (std::string const life = db_->meta("life"); !life.empty()) {
+  if (std::string const incarnation = db_->meta("life"); !incarnation.empty()) {
     std::string const promised = db_->meta("promised"), state = db_->meta("state");
-    std::optional<State> s;
+    std::optional<ReplicatedState> s;
     try {
-      if (!state.empty()) s = codec::unpack<State>(state);
-    } catch (codec::Malformed const&) {
-      throw Unreadable("disk: the value of layout 1 is malformed");
+      if (!state.empty()) s = codec::unpack<ReplicatedState>(state);
+    } catch (codec::MalformedMessage const&) {
+      throw StorageCorruption("disk: the value of layout 1 is malformed");
     }
-    Acceptor const a(Life(std::strtoull(life.c_str(), nullptr, 10)),
+    Acceptor const a(Incarnation(std::strtoull(incarnation.c_str(), nullptr, 10)),
                      Ballot(std::strtoull(promised.c_str(), nullptr, 10)), s);
-    Head h = a.head();
+    VoteHeader h = a.head();
     h.seq = 1;
     sqlite3_stmt* const put = db_->prep("INSERT INTO value VALUES(?,?)");
     sqlite3_stmt* const meta = db_->prep("INSERT OR REPLACE INTO meta VALUES(?,?)");
@@ -216,7 +216,7 @@
       ok = ok && db_->run(p);
     };
     if (s)
-      for (ValueRow const& r : rows_of(*s))
+      for (StateRow const& r : rows_of(*s))
         bind(put, r.key, r.body);
     bind(meta, "head", sealed(codec::pack(h)));
     bool const whole = db_->meta("whole") == "1";
@@ -225,12 +225,12 @@
     sqlite3_finalize(put);
     sqlite3_finalize(meta);
     if (!ok) throw std::runtime_error("disk: the old layout could not be taken over");
-    std::vector<DiskKey> keys;
+    std::vector<StoredKey> keys;
     db_->each("SELECT k,holder,sealed FROM claim", [&](sqlite3_stmt* q) {
       keys.push_back({Db::text(q, 0), static_cast<u64>(sqlite3_column_int64(q, 1)), sqlite3_column_int(q, 2) != 0});
     });
     sqlite3_stmt* const claim = db_->prep("UPDATE claim SET sealed=? WHERE k=?");
-    for (DiskKey const& k : keys) {
+    for (StoredKey const& k : keys) {
       sqlite3_bind_int64(claim, 1, static_cast<sqlite3_int64>(check_of(k.key, k.holder)) << 1 | (k.sealed ? 1 : 0));
       sqlite3_bind_text(claim, 2, k.key.data(), static_cast<int>(k.key.size()), SQLITE_TRANSIENT);
       ok = ok && db_->run(claim);
@@ -242,23 +242,23 @@
   db_->exec("COMMIT");
 }
 
-OnDisk Store::load() {
-  OnDisk d;
+StoredState DiskStore::load() {
+  StoredState d;
   std::string const head = db_->meta("head");
-  std::vector<ValueRow> rows;
+  std::vector<StateRow> rows;
   db_->each("SELECT k,v FROM value", [&](sqlite3_stmt* s) {
-    rows.push_back(ValueRow{Db::text(s, 0), Db::text(s, 1), false});
+    rows.push_back(StateRow{Db::text(s, 0), Db::text(s, 1), false});
   });
   db_->each("PRAGMA quick_check('claim')", [&](sqlite3_stmt* s) {
-    if (Db::text(s, 0) != "ok") throw Unreadable("disk: the table of keys is damaged");
+    if (Db::text(s, 0) != "ok") throw StorageCorruption("disk: the table of keys is damaged");
   });
   db_->each("SELECT k,holder,sealed FROM claim", [&](sqlite3_stmt* s) {
-    DiskKey k;
+    StoredKey k;
     k.key = Db::text(s, 0);
     k.holder = static_cast<u64>(sqlite3_column_int64(s, 1));
     sqlite3_int64 const mark = sqlite3_column_int64(s, 2);
     k.sealed = (mark & 1) != 0;
-    if (mark >> 1 != check_of(k.key, k.holder)) throw Unreadable("disk: a key is not as it was written");
+    if (mark >> 1 != check_of(k.key, k.holder)) throw StorageCorruption("disk: a key is not as it was written");
     d.keys.push_back(std::move(k));
   });
   db_->each("SELECT v FROM server", [&](sqlite3_stmt* s) { d.servers.push_back(Db::text(s, 0)); });
@@ -275,30 +275,31 @@
     if (auto const m = mark_in(slot)) marks.push_back(*m);
   }
   if (head.empty()) {
-    if (!rows.empty() || !d.keys.empty()) throw Unreadable("disk: rows without a head");
+    if (!rows.empty() || !d.keys.empty()) throw StorageCorruption("disk: rows without a head");
     // Nothing in the file, though something was said before: this is not the first start.
     d.fresh = marks.empty() && !there(dir_ + aside_name);
     return d;
   }
   auto const body = unsealed(head);
-  if (!body) throw Unreadable("disk: the head is not as it was written");
-  d.head = codec::unpack<Head>(*body);
+  if (!body) throw StorageCorruption("disk: the head is not as it was written");
+  d.head = codec::unpack<VoteHeader>(*body);
   for (Mark const& m : marks)
-    if (m.life == d.head->life && m.seq > d.head->seq) throw Unreadable("disk: the last votes are gone");
+    if (m.incarnation == d.head->incarnation && m.seq > d.head->seq)
+      throw StorageCorruption("disk: the last votes are gone");
   if (d.head->has) {
     try {
       d.value = value_of(*d.head, std::move(rows));
-    } catch (codec::Malformed const& e) {
-      throw Unreadable(std::string("disk: ") + e.what());
+    } catch (codec::MalformedMessage const& e) {
+      throw StorageCorruption(std::string("disk: ") + e.what());
     }
   } else if (!rows.empty()) {
-    throw Unreadable("disk: rows without a value");
+    throw StorageCorruption("disk: rows without a value");
   }
   seq_ = d.head->seq;
   return d;
 }
 
-bool Store::put(Op const& o) {
+bool DiskStore::put(Op const& o) {
   sqlite3_stmt* s = db_->stmt[static_cast<int>(o.what)];
   sqlite3_reset(s);
   sqlite3_bind_text(s, 1, o.k.data(), static_cast<int>(o.k.size()), SQLITE_STATIC);
@@ -316,8 +317,8 @@
   return db_->run(s);
 }
 
-bool Store::put_vote(VoteWrite const& v) {
-  for (ValueRow const& r : v.rows) {
+bool DiskStore::put_vote(VoteWrite const& v) {
+  for (StateRow const& r : v.rows) {
     Op o;
     o.what = r.gone ? Op::What::drop_value : Op::What::put_value;
     o.k = r.key;
@@ -327,7 +328,7 @@
   return put(put_meta("head", sealed(codec::pack(v.head))));
 }
 
-void Store::commit(std::vector<Write*> const& all) {
+void DiskStore::commit(std::vector<Write*> const& all) {
   bool any = false;
   for (Write* w : all) {
     w->ok = true;
@@ -335,7 +336,7 @@
   }
   if (!any) return;
   u64 seq = seq_;
-  Life life;
+  Incarnation incarnation;
   bool ok = db_->run(db_->begin);
   for (Write* w : all) {
     if (!ok) break;
@@ -348,7 +349,7 @@
     }
     ok = put_vote(*w->vote);
     seq = w->vote->head.seq;
-    life = w->vote->head.life;
+    incarnation = w->vote->head.incarnation;
   }
   if (ok) ok = db_->run(db_->commit);
   if (!ok) {
@@ -360,14 +361,14 @@
   if (seq == seq_) return;
   seq_ = seq;
   Mark m;
-  m.life = life;
+  m.incarnation = incarnation;
   m.seq = seq;
   std::string const slot = slot_of(m);
   if (::pwrite(db_->mark, slot.data(), slot.size(), static_cast<long>((seq & 1) * slot_len)) < 0) { /* it lags, then */
   }
 }
 
-std::string Store::answer(std::string const& key) {
+std::string DiskStore::answer(std::string const& key) {
   sqlite3_stmt* s = db_->find;
   sqlite3_bind_text(s, 1, key.data(), static_cast<int>(key.size()), SQLITE_STATIC);
   std::string v;
@@ -376,7 +377,7 @@
   return v;
 }
 
-void Store::set_aside(std::string const& dir) {
+void DiskStore::set_aside(std::string const& dir) {
   std::string const path = dir + file_name, to = dir + aside_name;
   if (there(path) && ::rename(path.c_str(), to.c_str()) != 0)
     throw std::runtime_error("disk: can't put the unreadable file aside");
--- a/packages/storage/include/storage/async_store.hpp
+++ b/packages/storage/include/storage/async_store.hpp
@@ -17,19 +17,19 @@
 namespace dockbend {
 
 // Invariant: a batch's callback says true only after its commit was synced.
-class Vellum {
+class AsyncStore {
  public:
-  using Op = Store::Op;
-  static Op put_meta(std::string k, std::string v) { return Store::put_meta(std::move(k), std::move(v)); }
+  using Op = DiskStore::Op;
+  static Op put_meta(std::string k, std::string v) { return DiskStore::put_meta(std::move(k), std::move(v)); }
   using Done = std::function<void(bool)>;
   using Found = std::function<void(std::string const&)>;
 
   // Opens (or makes) the file in dir; throws as Store does.
-  Vellum(event_base* eb, std::string const& dir);
-  ~Vellum();
-  Vellum(Vellum const&) = delete;
+  AsyncStore(event_base* loop, std::string const& dir);
+  ~AsyncStore();
+  AsyncStore(AsyncStore const&) = delete;
 
-  OnDisk load() { return store_.load(); }  // only before the first submit
+  StoredState load() { return store_.load(); }  // only before the first submit
   // Looks a kept answer up; "" if there is none. Seen after all submits before it.
   void find_ret(std::string const& k, Found f);
   void submit(std::vector<Op> ops, Done done);
@@ -39,7 +39,7 @@
   void submit_lazy(std::vector<Op> ops);
 
  private:
-  struct Batch : Store::Write {
+  struct Batch : DiskStore::Write {
     Done done;
     std::string want, got;  // a look-up, if want is not empty
     Found found;
@@ -47,7 +47,7 @@
   void hand_in(Batch b);
   void run();
   void reap();
-  Store store_;
+  DiskStore store_;
   std::mutex mu_;
   std::condition_variable cv_;
   std::deque<Batch> in_, out_;
--- a/packages/storage/include/storage/disk_store.hpp
+++ b/packages/storage/include/storage/disk_store.hpp
@@ -12,24 +12,24 @@
 
 namespace dockbend {
 
-struct DiskKey {
+struct StoredKey {
   std::string key;
   u64 holder = 0;
   bool sealed = false;
 };
 
 // The file is not what was written: torn, cut off, bits turned over, or older than what was said.
-struct Unreadable : std::runtime_error {
+struct StorageCorruption : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // What a disk holds when it is opened. Invariant: value is there only whole, as head says.
-struct OnDisk {
+struct StoredState {
   bool fresh = false;  // nothing was ever written here
-  std::optional<Head> head;
-  std::optional<State> value;
+  std::optional<VoteHeader> head;
+  std::optional<ReplicatedState> value;
   u64 keys_filled = 0;  // the membership in which the keys became whole, plus one; 0: they are not
-  std::vector<DiskKey> keys;
+  std::vector<StoredKey> keys;
   std::vector<std::string> servers;
   std::vector<std::pair<std::string, std::size_t>> answers;  // key, bytes
   std::string sites;
@@ -37,7 +37,7 @@
 
 // Invariants: a write is on disk whole or not at all, and said to be only once it was synced;
 // the mark beside the file never names a vote that the file did not hold synced.
-class Store {
+class DiskStore {
  public:
   static int constexpr layout = 2;
   struct Op {
@@ -62,7 +62,7 @@
     o.v = std::move(v);
     return o;
   }
-  // Meta `whole` once the disk holds all keys of that membership (OnDisk::keys_filled); no flip
+  // Meta `whole` once the disk holds all keys of that membership (StoredState::keys_filled); no flip
   // of a bit makes it.
   static std::string whole_word(u64 filled) { return sealed(std::to_string(filled)); }
   struct Write {
@@ -71,13 +71,13 @@
     bool ok = false;
   };
 
-  // Opens (or makes) the file in dir. Throws Unreadable; BadSetting if a newer program wrote
+  // Opens (or makes) the file in dir. Throws Unreadable; SettingsError if a newer program wrote
   // it, and touches nothing then; std::runtime_error if the disk won't have it.
-  explicit Store(std::string const& dir);
-  ~Store();
-  Store(Store const&) = delete;
+  explicit DiskStore(std::string const& dir);
+  ~DiskStore();
+  DiskStore(DiskStore const&) = delete;
 
-  OnDisk load();  // before the first commit; throws Unreadable
+  StoredState load();  // before the first commit; throws Unreadable
   // All or none, and sets each ok; a vote whose base the file does not hold is left out.
   void commit(std::vector<Write*> const& all);
   std::string answer(std::string const& key);  // "" if there is none
--- a/packages/transport/include/transport/transport.hpp
+++ b/packages/transport/include/transport/transport.hpp
@@ -17,72 +17,72 @@
 namespace dockbend {
 
 // The kinds of letters. Values are wire format: never reused.
-enum class Kind : u8 {
+enum class MessageType : u8 {
   ping = 1,
-  hello = 2,
-  helloR = 3,
-  beat = 4,
-  beatR = 5,
-  feed = 6,
-  news = 7,
-  prep = 10,
-  prepR = 11,
-  acc = 12,
-  accR = 13,
-  commit = 14,
-  pull = 15,
-  commitR = 16,
-  piece = 17,
-  claim = 20,
-  claimR = 21,
-  release = 22,
-  store = 23,
-  fetch = 24,
-  fetchR = 25,
-  rebuild = 26,
-  rebuildR = 27,
-  rows = 30,
+  handshake_request = 2,
+  handshake_response = 3,
+  proxy_heartbeat = 4,
+  proxy_heartbeat_response = 5,
+  subscribe = 6,
+  state_update = 7,
+  prepare_request = 10,
+  prepare_response = 11,
+  accept_request = 12,
+  accept_response = 13,
+  commit_notice = 14,
+  catch_up_request = 15,
+  catch_up_response = 16,
+  state_chunk = 17,
+  claim_request = 20,
+  claim_response = 21,
+  release_request = 22,
+  store_answer = 23,
+  fetch_answer_request = 24,
+  fetch_answer_response = 25,
+  key_copy_request = 26,
+  key_copy_response = 27,
+  server_records = 30,
   digest = 31,
-  digestR = 32,
-  ask = 40,
-  askR = 41,
-  done = 42,
-  load = 43,
+  digest_response = 32,
+  acquire_key_request = 40,
+  acquire_key_response = 41,
+  key_outcome = 42,
+  proxy_load = 43,
   leaving = 44,
-  hold = 50,
-  holdR = 51,
-  rollNote = 52,
-  holdFor = 54,
-  sites = 60,
-  clock = 61,
-  tally = 62,
-  loan = 63,
-  loanR = 64,
-  dutyCmd = 65,
-  survey = 66,
-  surveyR = 67,
-  drain = 68,
-  via = 70,
-  viaR = 71,
-  sitesAsk = 72,
-  join = 73,
-  probe = 80,
-  probeR = 81,
-  zipped = 255,
+  stage_request = 50,
+  stage_response = 51,
+  rollout_status = 52,
+  stage_forward_request = 54,
+  proxy_records = 60,
+  clock_reading = 61,
+  usage_update = 62,
+  quota_lease_request = 63,
+  quota_lease_response = 64,
+  hand_over_command = 65,
+  survey_request = 66,
+  survey_response = 67,
+  drain_instruction = 68,
+  relay_request = 70,
+  relay_response = 71,
+  proxy_records_request = 72,
+  join_request = 73,
+  contact_probe = 80,
+  contact_probe_response = 81,
+  deflated = 255,
 };
 
 // A letter's body made ready once, for many receivers; large ones are deflated. The bytes
 // are shared by all channels that they wait in, so they cost memory once.
-struct Parcel {
-  Kind kind{};
+struct EncodedMessage {
+  MessageType kind{};
   std::shared_ptr<std::string const> bytes;
   std::string const& body() const { return *bytes; }
   bool empty() const { return !bytes || bytes->empty(); }
 };
-Parcel parcel(Kind k, std::string body);
+EncodedMessage encode_message(MessageType k, std::string body);
 
-struct Letter {
-  Kind kind{};
+struct Message {
+  MessageType kind{};
   u32 tag = 0;
   std::string_view body;
   template <codec::Record T>
@@ -92,50 +92,50 @@
 };
 
 // What this process sent, by kind of letter, since it was last asked; for measuring.
-struct Sent {
+struct SentCounters {
   u64 letters = 0, bytes = 0;
 };
 std::string sent_by_kind();
 
 // What this process was given from outside and did not take, since its start.
-struct BadInput {
+struct RejectedInput {
   u64 channels = 0;  // ended for a frame that could not be read
   u64 letters = 0;   // of a kind that nobody here waits for: ignored
   u64 calls = 0;     // calls of the control API and requests refused as malformed
 };
-BadInput& bad_input();
-void say_bad_input();  // a log line, if there is more than the last time
+RejectedInput& rejected_input();
+void log_rejected_input();  // a log line, if there is more than the last time
 
-class Channel : public std::enable_shared_from_this<Channel> {
+class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  sigc::signal<void(Channel&, Letter const&)> on_letter;
-  sigc::signal<void(Channel&)> on_down;
-  sigc::signal<void(Channel&)> on_up;
+  sigc::signal<void(Connection&, Message const&)> on_message;
+  sigc::signal<void(Connection&)> on_down;
+  sigc::signal<void(Connection&)> on_up;
 
-  static std::shared_ptr<Channel> dial(event_base* eb, Addr const& to);
-  static std::shared_ptr<Channel> take(event_base* eb, evutil_socket_t fd);
-  ~Channel();
-  Channel(Channel const&) = delete;
+  static std::shared_ptr<Connection> dial(event_base* loop, Address const& to);
+  static std::shared_ptr<Connection> take(event_base* loop, evutil_socket_t fd);
+  ~Connection();
+  Connection(Connection const&) = delete;
 
-  void send(Kind k, u32 tag, std::string_view body);
-  void send(Parcel const& p, u32 tag = 0);
+  void send(MessageType k, u32 tag, std::string_view body);
+  void send(EncodedMessage const& p, u32 tag = 0);
   template <codec::Record T>
-  void send(Kind k, u32 tag, T const& x) {
+  void send(MessageType k, u32 tag, T const& x) {
     send(k, tag, std::string_view(codec::pack(x)));
   }
   void close();           // no signal
   void end() { drop(); }  // with its signal
   bool up() const { return up_; }
   bool open() const { return bev_ != nullptr; }
-  Secs heard() const { return heard_; }
-  Secs sent() const { return sent_; }
+  Seconds heard() const { return heard_; }
+  Seconds sent() const { return sent_; }
   u64 id() const { return id_; }
 
  private:
-  Channel() = default;
-  void put(Kind k, u32 tag, std::string_view body);
-  void head(Kind k, u32 tag, std::size_t n);
-  void arm(event_base* eb, evutil_socket_t fd);
+  Connection() = default;
+  void put(MessageType k, u32 tag, std::string_view body);
+  void head(MessageType k, u32 tag, std::size_t n);
+  void arm(event_base* loop, evutil_socket_t fd);
   void drop();
   void refuse(std::string const& why);  // bytes that can't be read
   struct Input;
@@ -143,17 +143,17 @@
   static void event_cb(bufferevent*, short what, void* p);
   bufferevent* bev_ = nullptr;
   bool up_ = false, near_ = false;  // near: over loopback, where bytes cost nothing
-  Secs heard_ = 0, sent_ = 0;
+  Seconds heard_ = 0, sent_ = 0;
   u64 id_ = 0;
 };
-using ChannelP = std::shared_ptr<Channel>;
+using ConnectionPtr = std::shared_ptr<Connection>;
 
 // A repeating timer that calls f.
-class Ticker {
+class PeriodicTimer {
  public:
-  Ticker(event_base* eb, Secs every, std::function<void()> f);
-  ~Ticker();
-  Ticker(Ticker const&) = delete;
+  PeriodicTimer(event_base* loop, Seconds every, std::function<void()> f);
+  ~PeriodicTimer();
+  PeriodicTimer(PeriodicTimer const&) = delete;
 
  private:
   std::function<void()> f_;
@@ -161,32 +161,32 @@
 };
 
 // Runs f once after some time, at the event loop.
-void after(event_base* eb, Secs t, std::function<void()> f);
+void after(event_base* loop, Seconds t, std::function<void()> f);
 
-class Door {
+class Listener {
  public:
-  sigc::signal<void(ChannelP)> on_channel;
-  Door(event_base* eb, Addr const& at);
-  ~Door();
-  Door(Door const&) = delete;
+  sigc::signal<void(ConnectionPtr)> on_channel;
+  Listener(event_base* loop, Address const& at);
+  ~Listener();
+  Listener(Listener const&) = delete;
 
  private:
-  event_base* eb_;
+  event_base* loop_;
   evconnlistener* ls_;
 };
 
 // Asks a relay to pass all further letters to a core node, and its answer once it can.
-struct ViaAsk {
-  DB_RECORD(ViaAsk, (std::string, ip));
+struct RelayRequest {
+  DB_RECORD(RelayRequest, (std::string, ip));
 };
-struct ViaR {
-  DB_RECORD(ViaR, (bool, ok));
+struct RelayResponse {
+  DB_RECORD(RelayResponse, (bool, ok));
 };
 
 // Which way to dial next: directly; once that failed twice, through relays in turn, with
 // the direct way tried again between them. Invariant: of any three dials that failed one
 // after the other, one was direct, and no relay is tried twice before each was tried once.
-class Ways {
+class DialStrategy {
  public:
   // The relay's place among n; none: directly.
   std::optional<std::size_t> next(std::size_t n) {
@@ -204,50 +204,50 @@
 // is broken by a ping every ping_s. Where the mate can't be reached directly and there
 // are relays, it is reached through one of them, and directly again once that works.
 // Invariant: up only while letters get through to the mate itself, as far as is known.
-class Link {
+class PeerLink {
  public:
-  sigc::signal<void(Link&)> on_up;
-  sigc::signal<void(Link&)> on_down;
-  sigc::signal<void(Link&, Letter const&)> on_letter;
-  Link(event_base* eb, Addr const& to, Secs ping_s, Secs quiet_s);
-  ~Link();
-  Link(Link const&) = delete;
+  sigc::signal<void(PeerLink&)> on_up;
+  sigc::signal<void(PeerLink&)> on_down;
+  sigc::signal<void(PeerLink&, Message const&)> on_message;
+  PeerLink(event_base* loop, Address const& to, Seconds ping_s, Seconds quiet_s);
+  ~PeerLink();
+  PeerLink(PeerLink const&) = delete;
 
   bool up() const { return ch_ && ch_->up() && !waiting_; }
   bool relayed() const { return up() && via_; }
   // Where else to try; asked anew each time.
-  void relays(std::function<std::vector<Addr>()> f) { relays_ = std::move(f); }
-  Channel* ch() { return up() ? ch_.get() : nullptr; }
+  void relays(std::function<std::vector<Address>()> f) { relays_ = std::move(f); }
+  Connection* ch() { return up() ? ch_.get() : nullptr; }
   u64 connection() const { return ch_ ? ch_->id() : 0; }  // no second one in this process has it
-  Addr const& to() const { return to_; }
+  Address const& to() const { return to_; }
   template <codec::Record T>
-  void send(Kind k, u32 tag, T const& x) {
+  void send(MessageType k, u32 tag, T const& x) {
     if (up()) ch_->send(k, tag, x);
   }
-  void send(Parcel const& p, u32 tag = 0) {
+  void send(EncodedMessage const& p, u32 tag = 0) {
     if (up()) ch_->send(p, tag);
   }
-  void tick(Secs now);
+  void tick(Seconds now);
   // How often our silence is broken, and how long the mate's is borne.
-  void pace(Secs ping_s, Secs quiet_s) {
+  void pace(Seconds ping_s, Seconds quiet_s) {
     ping_s_ = ping_s;
     quiet_s_ = quiet_s;
   }
-  Secs heard() const { return up() ? ch_->heard() : 0; }
+  Seconds heard() const { return up() ? ch_->heard() : 0; }
 
  private:
   void dial();
   void wire();
   void gone();
-  event_base* eb_;
-  Addr to_;
-  Secs ping_s_, quiet_s_;
-  ChannelP ch_, probe_;  // probe_: tries the direct way while a relay serves
-  std::function<std::vector<Addr>()> relays_;
+  event_base* loop_;
+  Address to_;
+  Seconds ping_s_, quiet_s_;
+  ConnectionPtr ch_, probe_;  // probe_: tries the direct way while a relay serves
+  std::function<std::vector<Address>()> relays_;
   bool via_ = false, waiting_ = false;  // waiting_: for the relay's word
-  Ways ways_;
-  Secs probed_ = 0;
-  Secs next_ = 0, dialled_ = 0, back_ = 0.1, wait_ = 0.4;
+  DialStrategy ways_;
+  Seconds probed_ = 0;
+  Seconds next_ = 0, dialled_ = 0, back_ = 0.1, wait_ = 0.4;
 };
 
 // Passes letters between a node that is cut off from the core and the core nodes it
@@ -255,22 +255,22 @@
 // when either side ends, so does the other.
 class Relay {
  public:
-  Relay(event_base* eb, Addr const& at, u32 port, std::function<bool(std::string const&)> known);
+  Relay(event_base* loop, Address const& at, u32 port, std::function<bool(std::string const&)> known);
   Relay(Relay const&) = delete;
-  void tick(Secs now);
+  void tick(Seconds now);
 
  private:
   struct Pipe {
-    ChannelP down, up;
-    Secs since = 0;
+    ConnectionPtr down, up;
+    Seconds since = 0;
   };
-  void took(ChannelP c);
+  void took(ConnectionPtr c);
   void shut(u64 id);
-  event_base* eb_;
+  event_base* loop_;
   u32 port_;
   std::function<bool(std::string const&)> known_;
   std::unordered_map<u64, Pipe> pipes_;
-  Door door_;
+  Listener door_;
 };
 
 void tune_socket(evutil_socket_t fd, int user_timeout_ms);
--- a/packages/transport/transport.cpp
+++ b/packages/transport/transport.cpp
@@ -14,7 +14,7 @@
 
 namespace dockbend {
 namespace {
-sockaddr_in sa_of(Addr const& a) {
+sockaddr_in sa_of(Address const& a) {
   sockaddr_in sa{};
   sa.sin_family = AF_INET;
   sa.sin_port = htons(static_cast<uint16_t>(a.port));
@@ -22,7 +22,7 @@
   return sa;
 }
 u64 next_id = 1;
-Sent counted[256];
+SentCounters counted[256];
 }  // namespace
 
 std::string sent_by_kind() {
@@ -31,7 +31,7 @@
     if (counted[k].letters == 0) continue;
     out += (out.empty() ? "" : ", ") + std::to_string(k) + " " + std::to_string(counted[k].letters) + "/" +
            std::to_string(counted[k].bytes);
-    counted[k] = Sent{};
+    counted[k] = SentCounters{};
   }
   return out;
 }
@@ -42,11 +42,13 @@
 
 }  // namespace
 
-Parcel parcel(Kind k, std::string body) {
-  auto made = [](Kind kind, std::string b) { return Parcel{kind, std::make_shared<std::string const>(std::move(b))}; };
+EncodedMessage encode_message(MessageType k, std::string body) {
+  auto made = [](MessageType kind, std::string b) {
+    return EncodedMessage{kind, std::make_shared<std::string const>(std::move(b))};
+  };
   if (body.size() < zip_from) return made(k, std::move(body));
   std::string z = frame::deflate(static_cast<u8>(k), body);
-  return z.empty() ? made(k, std::move(body)) : made(Kind::zipped, std::move(z));
+  return z.empty() ? made(k, std::move(body)) : made(MessageType::deflated, std::move(z));
 }
 
 void tune_socket(evutil_socket_t fd, int user_timeout_ms) {
@@ -57,9 +59,9 @@
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &t, sizeof t);
 }
 
-ChannelP Channel::dial(event_base* eb, Addr const& to) {
-  ChannelP c(new Channel);
-  c->arm(eb, -1);
+ConnectionPtr Connection::dial(event_base* loop, Address const& to) {
+  ConnectionPtr c(new Connection);
+  c->arm(loop, -1);
   sockaddr_in sa = sa_of(to);
   if (bufferevent_socket_connect(c->bev_, reinterpret_cast<sockaddr*>(&sa), sizeof sa) < 0) {
     c->close();
@@ -70,10 +72,10 @@
   return c;
 }
 
-ChannelP Channel::take(event_base* eb, evutil_socket_t fd) {
-  ChannelP c(new Channel);
+ConnectionPtr Connection::take(event_base* loop, evutil_socket_t fd) {
+  ConnectionPtr c(new Connection);
   tune_socket(fd, 2000);
-  c->arm(eb, fd);
+  c->arm(loop, fd);
   sockaddr_in sa{};
   socklen_t len = sizeof sa;
   c->near_ = getpeername(fd, reinterpret_cast<sockaddr*>(&sa), &len) == 0 && (ntohl(sa.sin_addr.s_addr) >> 24) == 127;
@@ -81,19 +83,19 @@
   return c;
 }
 
-void Channel::arm(event_base* eb, evutil_socket_t fd) {
+void Connection::arm(event_base* loop, evutil_socket_t fd) {
   id_ = next_id++;
-  bev_ = bufferevent_socket_new(eb, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
+  bev_ = bufferevent_socket_new(loop, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   bufferevent_setcb(bev_, read_cb, nullptr, event_cb, this);
   bufferevent_enable(bev_, EV_READ | EV_WRITE);
-  heard_ = sent_ = now_s();
+  heard_ = sent_ = steady_now();
 }
 
-Channel::~Channel() {
+Connection::~Connection() {
   close();
 }
 
-void Channel::close() {
+void Connection::close() {
   if (bev_ != nullptr) {
     bufferevent_free(bev_);
     bev_ = nullptr;
@@ -101,20 +103,20 @@
   up_ = false;
 }
 
-void Channel::drop() {
-  ChannelP const self = shared_from_this();
+void Connection::drop() {
+  ConnectionPtr const self = shared_from_this();
   close();
   on_down.emit(*this);
 }
 
-void Channel::send(Kind k, u32 tag, std::string_view body) {
+void Connection::send(MessageType k, u32 tag, std::string_view body) {
   if (!up_) return;
   if (near_ || body.size() < zip_from) return put(k, tag, body);
-  Parcel const p = parcel(k, std::string(body));
+  EncodedMessage const p = encode_message(k, std::string(body));
   send(p, tag);
 }
 
-void Channel::send(Parcel const& p, u32 tag) {
+void Connection::send(EncodedMessage const& p, u32 tag) {
   if (!up_) return;
   if (p.body().size() < share_from) return put(p.kind, tag, p.body());
   head(p.kind, tag, p.body().size());
@@ -124,51 +126,51 @@
       [](void const*, std::size_t, void* x) { delete static_cast<std::shared_ptr<std::string const>*>(x); }, keep);
 }
 
-void Channel::head(Kind k, u32 tag, std::size_t n) {
+void Connection::head(MessageType k, u32 tag, std::size_t n) {
   if (!near_) {
     ++counted[static_cast<u8>(k)].letters;
-    counted[static_cast<u8>(k)].bytes += frame::head_len + n;
+    counted[static_cast<u8>(k)].bytes += frame::kHeaderLength + n;
   }
-  u8 h[frame::head_len];
-  frame::write_head(h, frame::Head{static_cast<u32>(n), static_cast<u8>(k), tag});
-  evbuffer_add(bufferevent_get_output(bev_), h, frame::head_len);
-  sent_ = now_s();
+  u8 h[frame::kHeaderLength];
+  frame::write_head(h, frame::Header{static_cast<u32>(n), static_cast<u8>(k), tag});
+  evbuffer_add(bufferevent_get_output(bev_), h, frame::kHeaderLength);
+  sent_ = steady_now();
 }
 
-void Channel::put(Kind k, u32 tag, std::string_view body) {
+void Connection::put(MessageType k, u32 tag, std::string_view body) {
   if (!up_) return;
   evbuffer* const out = bufferevent_get_output(bev_);
-  evbuffer_expand(out, frame::head_len + body.size());  // one piece, one packet
+  evbuffer_expand(out, frame::kHeaderLength + body.size());  // one piece, one packet
   head(k, tag, body.size());
   evbuffer_add(out, body.data(), body.size());
 }
 
-struct Channel::Input {  // a frame::Source: what the socket has brought
-  Channel& c;
+struct Connection::Input {  // a frame::Source: what the socket has brought
+  Connection& c;
   evbuffer* in;
   bool open() const { return c.bev_ != nullptr; }
   std::size_t size() const { return evbuffer_get_length(in); }
-  void peek(u8* p) const { evbuffer_copyout(in, p, frame::head_len); }
+  void peek(u8* p) const { evbuffer_copyout(in, p, frame::kHeaderLength); }
   void take(std::string& body) const {
-    evbuffer_drain(in, frame::head_len);
+    evbuffer_drain(in, frame::kHeaderLength);
     if (!body.empty()) evbuffer_remove(in, body.data(), body.size());
   }
 };
 
-void Channel::read_cb(bufferevent* bev, void* p) {
-  Channel* const c = static_cast<Channel*>(p);
-  ChannelP const self = c->shared_from_this();
-  c->heard_ = now_s();
+void Connection::read_cb(bufferevent* bev, void* p) {
+  Connection* const c = static_cast<Connection*>(p);
+  ConnectionPtr const self = c->shared_from_this();
+  c->heard_ = steady_now();
   auto const bad =
-      frame::each(Input{*c, bufferevent_get_input(bev)}, [c](frame::Head const& h, std::string const& body) {
-        Kind const k = static_cast<Kind>(h.kind);
-        if (k != Kind::ping) return c->on_letter.emit(*c, Letter{k, h.tag, body});
-        if (h.tag == 0) c->send(Kind::ping, 1, std::string_view());
+      frame::each(Input{*c, bufferevent_get_input(bev)}, [c](frame::Header const& h, std::string const& body) {
+        MessageType const k = static_cast<MessageType>(h.kind);
+        if (k != MessageType::ping) return c->on_message.emit(*c, Message{k, h.tag, body});
+        if (h.tag == 0) c->send(MessageType::ping, 1, std::string_view());
       });
   if (!bad) {
     // A long letter on a slow link: its sender's pings wait behind it, and would get no answer in time.
     if (c->bev_ != nullptr && evbuffer_get_length(bufferevent_get_input(bev)) > 0 && c->heard_ - c->sent_ > 0.5)
-      c->send(Kind::ping, 1, std::string_view());
+      c->send(MessageType::ping, 1, std::string_view());
     return;
   }
   c->refuse(*bad);
@@ -176,11 +178,11 @@
 }
 
 // Counted always, logged at most once a second.
-void Channel::refuse(std::string const& why) {
+void Connection::refuse(std::string const& why) {
   DB_LOG("courier");
-  static Secs logged = -1e9;
-  ++bad_input().channels;
-  Secs const now = now_s();
+  static Seconds logged = -1e9;
+  ++rejected_input().channels;
+  Seconds const now = steady_now();
   if (now - logged < 1.0) return;
   logged = now;
   sockaddr_in sa{};
@@ -188,32 +190,33 @@
   char from[INET_ADDRSTRLEN] = "nowhere";
   if (bev_ != nullptr && getpeername(bufferevent_getfd(bev_), reinterpret_cast<sockaddr*>(&sa), &len) == 0)
     inet_ntop(AF_INET, &sa.sin_addr, from, sizeof from);
-  LOG4CPLUS_WARN(lg, "Ended a channel with " << from << ": " << why << ". " << bad_input().channels << " such so far.");
+  LOG4CPLUS_WARN(
+      logger, "Ended a channel with " << from << ": " << why << ". " << rejected_input().channels << " such so far.");
 }
 
-BadInput& bad_input() {
-  static BadInput b;
+RejectedInput& rejected_input() {
+  static RejectedInput b;
   return b;
 }
 
-void say_bad_input() {
+void log_rejected_input() {
   DB_LOG("courier");
   static u64 said = 0;
-  BadInput const& b = bad_input();
+  RejectedInput const& b = rejected_input();
   if (u64 const n = b.channels + b.letters + b.calls; n == said)
     return;
   else
     said = n;
-  LOG4CPLUS_INFO(lg, "Bad input so far: " << b.channels << " channels ended, " << b.letters << " letters ignored, "
-                                          << b.calls << " calls refused.");
+  LOG4CPLUS_INFO(logger, "Bad input so far: " << b.channels << " channels ended, " << b.letters << " letters ignored, "
+                                              << b.calls << " calls refused.");
 }
 
-void Channel::event_cb(bufferevent*, short what, void* p) {
-  Channel* const c = static_cast<Channel*>(p);
-  ChannelP const self = c->shared_from_this();
+void Connection::event_cb(bufferevent*, short what, void* p) {
+  Connection* const c = static_cast<Connection*>(p);
+  ConnectionPtr const self = c->shared_from_this();
   if ((what & BEV_EVENT_CONNECTED) != 0) {
     c->up_ = true;
-    c->heard_ = now_s();
+    c->heard_ = steady_now();
     tune_socket(bufferevent_getfd(c->bev_), 2000);
     c->on_up.emit(*c);
     return;
@@ -221,23 +224,23 @@
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) != 0) c->drop();
 }
 
-Ticker::Ticker(event_base* eb, Secs every, std::function<void()> f) : f_(std::move(f)) {
+PeriodicTimer::PeriodicTimer(event_base* loop, Seconds every, std::function<void()> f) : f_(std::move(f)) {
   ev_ = event_new(
-      eb, -1, EV_PERSIST, [](evutil_socket_t, short, void* p) { static_cast<Ticker*>(p)->f_(); }, this);
+      loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* p) { static_cast<PeriodicTimer*>(p)->f_(); }, this);
   timeval tv{static_cast<time_t>(every),
              static_cast<suseconds_t>((every - static_cast<double>(static_cast<time_t>(every))) * 1e6)};
   event_add(ev_, &tv);
 }
-Ticker::~Ticker() {
+PeriodicTimer::~PeriodicTimer() {
   event_free(ev_);
 }
 
-void after(event_base* eb, Secs t, std::function<void()> f) {
+void after(event_base* loop, Seconds t, std::function<void()> f) {
   auto* const box = new std::function<void()>(std::move(f));
   t = std::max(t, 0.0);
   timeval tv{static_cast<time_t>(t), static_cast<suseconds_t>((t - static_cast<double>(static_cast<time_t>(t))) * 1e6)};
   event_base_once(
-      eb, -1, EV_TIMEOUT,
+      loop, -1, EV_TIMEOUT,
       [](evutil_socket_t, short, void* p) {
         std::unique_ptr<std::function<void()>> const b(static_cast<std::function<void()>*>(p));
         (*b)();
@@ -245,45 +248,45 @@
       box, &tv);
 }
 
-Door::Door(event_base* eb, Addr const& at) : eb_(eb) {
+Listener::Listener(event_base* loop, Address const& at) : loop_(loop) {
   sockaddr_in sa = sa_of(at);
   ls_ = evconnlistener_new_bind(
-      eb,
+      loop,
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* p) {
-        Door* const d = static_cast<Door*>(p);
-        d->on_channel.emit(Channel::take(d->eb_, fd));
+        Listener* const d = static_cast<Listener*>(p);
+        d->on_channel.emit(Connection::take(d->loop_, fd));
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 128, reinterpret_cast<sockaddr*>(&sa),
       sizeof sa);
   if (ls_ == nullptr) throw std::runtime_error("can't listen at " + at.str());
 }
-Door::~Door() {
+Listener::~Listener() {
   if (ls_ != nullptr) evconnlistener_free(ls_);
 }
 
-Link::Link(event_base* eb, Addr const& to, Secs ping_s, Secs quiet_s)
-    : eb_(eb), to_(to), ping_s_(ping_s), quiet_s_(quiet_s) {}
-Link::~Link() {
+PeerLink::PeerLink(event_base* loop, Address const& to, Seconds ping_s, Seconds quiet_s)
+    : loop_(loop), to_(to), ping_s_(ping_s), quiet_s_(quiet_s) {}
+PeerLink::~PeerLink() {
   if (ch_) ch_->close();
   if (probe_) probe_->close();
 }
 
-void Link::dial() {
+void PeerLink::dial() {
   if (ch_) ch_->close();
-  std::vector<Addr> const r = relays_ ? relays_() : std::vector<Addr>();
+  std::vector<Address> const r = relays_ ? relays_() : std::vector<Address>();
   std::optional<std::size_t> const relay = ways_.next(r.size());
   via_ = waiting_ = relay.has_value();
-  ch_ = Channel::dial(eb_, relay ? r[*relay] : to_);
-  dialled_ = now_s();
+  ch_ = Connection::dial(loop_, relay ? r[*relay] : to_);
+  dialled_ = steady_now();
   wire();
 }
 
-void Link::wire() {
-  ch_->on_up.connect([this](Channel& c) {
+void PeerLink::wire() {
+  ch_->on_up.connect([this](Connection& c) {
     if (via_) {
-      ViaAsk a;
+      RelayRequest a;
       a.ip = to_.ip;
-      c.send(Kind::via, 0, a);
+      c.send(MessageType::relay_request, 0, a);
       return;
     }
     back_ = 0.1;
@@ -291,29 +294,29 @@
     ways_.direct();
     on_up.emit(*this);
   });
-  ch_->on_down.connect([this](Channel&) { gone(); });
-  ch_->on_letter.connect([this](Channel&, Letter const& l) {
+  ch_->on_down.connect([this](Connection&) { gone(); });
+  ch_->on_message.connect([this](Connection&, Message const& l) {
     if (waiting_) {
-      if (l.kind != Kind::viaR) return;
+      if (l.kind != MessageType::relay_response) return;
       waiting_ = false;
       back_ = 0.1;
       wait_ = 0.4;
-      probed_ = now_s();
+      probed_ = steady_now();
       on_up.emit(*this);
       return;
     }
-    on_letter.emit(*this, l);
+    on_message.emit(*this, l);
   });
 }
 
-void Link::gone() {
+void PeerLink::gone() {
   ways_.failed();
-  next_ = now_s() + back_ * (0.5 + random01());
+  next_ = steady_now() + back_ * (0.5 + random01());
   back_ = std::min(back_ * 1.5, 0.3);
   on_down.emit(*this);
 }
 
-void Link::tick(Secs now) {
+void PeerLink::tick(Seconds now) {
   if (!ch_ || !ch_->open()) {
     if (now >= next_) dial();
     return;
@@ -329,10 +332,10 @@
   if (via_ && now - probed_ > 2.0) {
     probed_ = now;
     if (probe_) probe_->close();
-    probe_ = Channel::dial(eb_, to_);
-    probe_->on_up.connect([this](Channel&) {
+    probe_ = Connection::dial(loop_, to_);
+    probe_->on_up.connect([this](Connection&) {
       // Out of the probe's own callback: it becomes the channel.
-      after(eb_, 0, [this, p = probe_] {
+      after(loop_, 0, [this, p = probe_] {
         if (!p || p != probe_ || !p->up() || !via_) return;
         probe_.reset();
         on_down.emit(*this);
@@ -353,19 +356,19 @@
     on_down.emit(*this);
     return;
   }
-  if (now - ch_->sent() > ping_s_) ch_->send(Kind::ping, 0, std::string_view());
+  if (now - ch_->sent() > ping_s_) ch_->send(MessageType::ping, 0, std::string_view());
 }
 
-Relay::Relay(event_base* eb, Addr const& at, u32 port, std::function<bool(std::string const&)> known)
-    : eb_(eb), port_(port), known_(std::move(known)), door_(eb, at) {
-  door_.on_channel.connect([this](ChannelP c) { took(std::move(c)); });
+Relay::Relay(event_base* loop, Address const& at, u32 port, std::function<bool(std::string const&)> known)
+    : loop_(loop), port_(port), known_(std::move(known)), door_(loop, at) {
+  door_.on_channel.connect([this](ConnectionPtr c) { took(std::move(c)); });
 }
 
-void Relay::took(ChannelP c) {
+void Relay::took(ConnectionPtr c) {
   u64 const id = c->id();
   pipes_[id].down = c;
-  pipes_[id].since = now_s();
-  c->on_letter.connect([this, id](Channel& ch, Letter const& l) {
+  pipes_[id].since = steady_now();
+  c->on_message.connect([this, id](Connection& ch, Message const& l) {
     auto const it = pipes_.find(id);
     if (it == pipes_.end()) return;
     Pipe& p = it->second;
@@ -373,26 +376,26 @@
       p.up->send(l.kind, l.tag, l.body);
       return;
     }
-    if (l.kind != Kind::via || !known_(l.as<ViaAsk>().ip)) {
+    if (l.kind != MessageType::relay_request || !known_(l.as<RelayRequest>().ip)) {
       shut(id);
       return;
     }
-    p.up = Channel::dial(eb_, Addr{l.as<ViaAsk>().ip, port_});
-    p.up->on_up.connect([w = ch.weak_from_this()](Channel&) {
-      ViaR r;
+    p.up = Connection::dial(loop_, Address{l.as<RelayRequest>().ip, port_});
+    p.up->on_up.connect([w = ch.weak_from_this()](Connection&) {
+      RelayResponse r;
       r.ok = true;
-      if (auto const d = w.lock()) d->send(Kind::viaR, 0, r);
+      if (auto const d = w.lock()) d->send(MessageType::relay_response, 0, r);
     });
-    p.up->on_letter.connect([w = ch.weak_from_this()](Channel&, Letter const& x) {
+    p.up->on_message.connect([w = ch.weak_from_this()](Connection&, Message const& x) {
       if (auto const d = w.lock()) d->send(x.kind, x.tag, x.body);
     });
-    p.up->on_down.connect([this, id](Channel&) { shut(id); });
+    p.up->on_down.connect([this, id](Connection&) { shut(id); });
   });
-  c->on_down.connect([this, id](Channel&) { shut(id); });
+  c->on_down.connect([this, id](Connection&) { shut(id); });
 }
 
 void Relay::shut(u64 id) {
-  after(eb_, 0, [this, id] {
+  after(loop_, 0, [this, id] {
     auto const it = pipes_.find(id);
     if (it == pipes_.end()) return;
     it->second.down->close();
@@ -401,13 +404,13 @@
   });
 }
 
-void Relay::tick(Secs now) {
+void Relay::tick(Seconds now) {
   for (auto& [id, p] : pipes_) {
     bool const dead = p.up ? (p.up->up() ? now - p.up->heard() > 1.5 : now - p.since > 2.5) : now - p.since > 2.0;
     if (dead || now - p.down->heard() > 3.0)
       shut(id);
     else if (p.up && p.up->up() && now - p.up->sent() > 0.5)
-      p.up->send(Kind::ping, 0, std::string_view());
+      p.up->send(MessageType::ping, 0, std::string_view());
   }
 }
 
--- a/packages/upstream/include/upstream/body_read_tracker.hpp
+++ b/packages/upstream/include/upstream/body_read_tracker.hpp
@@ -14,7 +14,7 @@
 
 // Invariant: bytes counts what came on a connection since its last whole request. A
 // connection that ended is not told of; it counts until it was silent for `idle` ticks.
-class Readings {
+class BodyReadTracker {
  public:
   void watch(evhttp* h) { evhttp_set_bevcb(h, made, this); }
   void tick() { ++tick_; }
@@ -33,13 +33,13 @@
 
  private:
   struct Watch {
-    Readings* of = nullptr;
+    BodyReadTracker* of = nullptr;
     std::size_t bytes = 0;
     u64 at = 0;
   };
-  static bufferevent* made(event_base* eb, void* p) {
-    Readings* const self = static_cast<Readings*>(p);
-    bufferevent* const b = bufferevent_socket_new(eb, -1, 0);
+  static bufferevent* made(event_base* loop, void* p) {
+    BodyReadTracker* const self = static_cast<BodyReadTracker*>(p);
+    bufferevent* const b = bufferevent_socket_new(loop, -1, 0);
     std::unique_ptr<Watch>& w = self->all_[b];  // an old one at this place is of a connection that ended
     w = std::make_unique<Watch>();
     w->of = self;
--- a/packages/usage/include/usage/usage_totals.hpp
+++ b/packages/usage/include/usage/usage_totals.hpp
@@ -12,58 +12,59 @@
 
 namespace dockbend {
 
-using Window = Strong<u64, struct WindowTag>;
-Window window_of(Wall t, double period_s);
+using UsageWindow = Strong<u64, struct UsageWindowTag>;
+UsageWindow window_of(WallSeconds t, double period_s);
 
 // Running totals of one proxy's life in one window.
-struct TallyRow {
-  DB_RECORD(TallyRow, (u64, life), (Window, window), (std::vector<std::string>, tenants), (std::vector<u64>, counts));
+struct UsageRow {
+  DB_RECORD(UsageRow, (u64, incarnation), (UsageWindow, window), (std::vector<std::string>, tenants),
+            (std::vector<u64>, counts));
 };
-struct TallyNote {
-  DB_RECORD(TallyNote, (std::vector<TallyRow>, rows));
+struct UsageUpdate {
+  DB_RECORD(UsageUpdate, (std::vector<UsageRow>, rows));
 };
 
 // A proxy's side. Invariant: a count never falls, so that whoever joins by maximum
 // has each errand once.
-class Counter {
+class UsageCounter {
  public:
-  explicit Counter(u64 life) : life_(life) {}
-  void began(std::string const& tenant, Window w);
+  explicit UsageCounter(u64 incarnation) : incarnation_(incarnation) {}
+  void began(std::string const& tenant, UsageWindow w);
   // Rows that changed since they were last taken; all of them if `all`.
-  TallyNote take(bool all);
-  void forget(Window before);
-  u64 count(std::string const& tenant, Window w) const;
+  UsageUpdate take(bool all);
+  void forget(UsageWindow before);
+  u64 count(std::string const& tenant, UsageWindow w) const;
 
  private:
-  u64 life_;
-  std::map<Window, std::map<std::string, u64>> m_;
-  std::set<Window> dirty_;
+  u64 incarnation_;
+  std::map<UsageWindow, std::map<std::string, u64>> m_;
+  std::set<UsageWindow> dirty_;
 };
 
 // The joined totals. Invariants: for one (life, window, tenant) the maximum of all
 // that was said holds, so rows may come late, twice and in any order; nothing is kept
 // of windows before the floor.
-class Totals {
+class UsageTotals {
  public:
   // True if the row brought news.
-  bool join(TallyRow const& r);
-  std::map<std::string, u64> sum(Window w) const;
+  bool join(UsageRow const& r);
+  std::map<std::string, u64> sum(UsageWindow w) const;
   // Has every proxy that counted in w, or just before it, gone on to a later window?
-  bool complete(Window w) const;
-  Window first() const { return m_.empty() ? Window() : m_.begin()->first; }
+  bool complete(UsageWindow w) const;
+  UsageWindow first() const { return m_.empty() ? UsageWindow() : m_.begin()->first; }
   // Rows changed since the last call; all rows if `all`.
-  TallyNote take(bool all);
-  void forget(Window before);
+  UsageUpdate take(bool all);
+  void forget(UsageWindow before);
 
  private:
   using Row = std::map<std::string, u64>;
-  Window floor_;
-  std::map<Window, std::unordered_map<u64, Row>> m_;
-  std::set<std::pair<Window, u64>> dirty_;
-  std::unordered_map<u64, Window> newest_;  // by life; kept for a while after the rows
+  UsageWindow floor_;
+  std::map<UsageWindow, std::unordered_map<u64, Row>> m_;
+  std::set<std::pair<UsageWindow, u64>> dirty_;
+  std::unordered_map<u64, UsageWindow> newest_;  // by life; kept for a while after the rows
 };
 
 // The body of a window's report. The same totals give the same bytes.
-std::string usage_body(Window w, std::map<std::string, u64> const& sum);
+std::string usage_body(UsageWindow w, std::map<std::string, u64> const& sum);
 
 }  // namespace dockbend
--- a/packages/usage/median_clock.cpp
+++ b/packages/usage/median_clock.cpp
@@ -7,10 +7,10 @@
 namespace dockbend {
 namespace {
 double const jump_s = 0.25;  // more than clocks drift apart between two readings
-Secs const fresh_s = 30;     // what a mate said longer ago counts no more
+Seconds const fresh_s = 30;  // what a mate said longer ago counts no more
 }  // namespace
 
-void TrueClock::own(Secs steady, Wall wall) {
+void MedianClock::own(Seconds steady, WallSeconds wall) {
   double const o = wall - steady;
   last_ = std::max(last_, steady);
   if (!has_own_) {
@@ -22,15 +22,15 @@
   if (std::abs(o - own_) < jump_s) own_ = o;
 }
 
-void TrueClock::mate(std::string const& who, Secs steady, Wall said) {
+void MedianClock::peer_reading(std::string const& who, Seconds steady, WallSeconds said) {
   last_ = std::max(last_, steady);
-  mates_[who] = Said{said - steady, steady};
+  controllers_[who] = Said{said - steady, steady};
 }
 
-double TrueClock::offset() const {
+double MedianClock::offset() const {
   std::vector<double> v;
   if (has_own_) v.push_back(own_);
-  for (auto const& [w, s] : mates_)
+  for (auto const& [w, s] : controllers_)
     if (last_ - s.at < fresh_s) v.push_back(s.offset);
   if (v.empty()) return 0;
   std::sort(v.begin(), v.end());
--- a/packages/usage/usage_totals.cpp
+++ b/packages/usage/usage_totals.cpp
@@ -7,14 +7,14 @@
 
 namespace dockbend {
 
-Window window_of(Wall t, double period_s) {
-  return Window(t <= 0 || period_s <= 0 ? 0 : static_cast<u64>(std::floor(t / period_s)));
+UsageWindow window_of(WallSeconds t, double period_s) {
+  return UsageWindow(t <= 0 || period_s <= 0 ? 0 : static_cast<u64>(std::floor(t / period_s)));
 }
 
 namespace {
-TallyRow row_of(u64 life, Window w, std::map<std::string, u64> const& m) {
-  TallyRow r;
-  r.life = life;
+UsageRow row_of(u64 incarnation, UsageWindow w, std::map<std::string, u64> const& m) {
+  UsageRow r;
+  r.incarnation = incarnation;
   r.window = w;
   for (auto const& [t, n] : m) {
     r.tenants.push_back(t);
@@ -24,35 +24,35 @@
 }
 }  // namespace
 
-void Counter::began(std::string const& tenant, Window w) {
+void UsageCounter::began(std::string const& tenant, UsageWindow w) {
   ++m_[w][tenant];
   dirty_.insert(w);
 }
 
-TallyNote Counter::take(bool all) {
-  TallyNote n;
+UsageUpdate UsageCounter::take(bool all) {
+  UsageUpdate n;
   for (auto const& [w, m] : m_)
-    if (all || dirty_.count(w) > 0) n.rows.push_back(row_of(life_, w, m));
+    if (all || dirty_.count(w) > 0) n.rows.push_back(row_of(incarnation_, w, m));
   dirty_.clear();
   return n;
 }
 
-void Counter::forget(Window before) {
+void UsageCounter::forget(UsageWindow before) {
   m_.erase(m_.begin(), m_.lower_bound(before));
   dirty_.erase(dirty_.begin(), dirty_.lower_bound(before));
 }
 
-u64 Counter::count(std::string const& tenant, Window w) const {
+u64 UsageCounter::count(std::string const& tenant, UsageWindow w) const {
   auto const it = m_.find(w);
   if (it == m_.end()) return 0;
   auto const t = it->second.find(tenant);
   return t == it->second.end() ? 0 : t->second;
 }
 
-bool Totals::join(TallyRow const& r) {
+bool UsageTotals::join(UsageRow const& r) {
   if (r.window < floor_ || r.tenants.size() != r.counts.size()) return false;
-  Row& row = m_[r.window][r.life];
-  Window& last = newest_[r.life];
+  Row& row = m_[r.window][r.incarnation];
+  UsageWindow& last = newest_[r.incarnation];
   last = std::max(last, r.window);
   bool news = false;
   for (std::size_t i = 0; i < r.tenants.size(); ++i) {
@@ -61,41 +61,41 @@
     n = r.counts[i];
     news = true;
   }
-  if (news) dirty_.insert({r.window, r.life});
+  if (news) dirty_.insert({r.window, r.incarnation});
   return news;
 }
 
-std::map<std::string, u64> Totals::sum(Window w) const {
+std::map<std::string, u64> UsageTotals::sum(UsageWindow w) const {
   std::map<std::string, u64> out;
   auto const it = m_.find(w);
   if (it == m_.end()) return out;
-  for (auto const& [life, row] : it->second)
+  for (auto const& [incarnation, row] : it->second)
     for (auto const& [t, n] : row)
       out[t] += n;
   return out;
 }
 
-bool Totals::complete(Window w) const {
-  for (auto const& [life, last] : newest_)
+bool UsageTotals::complete(UsageWindow w) const {
+  for (auto const& [incarnation, last] : newest_)
     if (last.v + 1 >= w.v && last <= w) return false;
   return true;
 }
 
-TallyNote Totals::take(bool all) {
-  TallyNote n;
+UsageUpdate UsageTotals::take(bool all) {
+  UsageUpdate n;
   if (all) {
     for (auto const& [w, lives] : m_)
-      for (auto const& [life, row] : lives)
-        n.rows.push_back(row_of(life, w, row));
+      for (auto const& [incarnation, row] : lives)
+        n.rows.push_back(row_of(incarnation, w, row));
   } else {
-    for (auto const& [w, life] : dirty_)
-      n.rows.push_back(row_of(life, w, m_[w][life]));
+    for (auto const& [w, incarnation] : dirty_)
+      n.rows.push_back(row_of(incarnation, w, m_[w][incarnation]));
   }
   dirty_.clear();
   return n;
 }
 
-void Totals::forget(Window before) {
+void UsageTotals::forget(UsageWindow before) {
   if (before <= floor_) return;
   floor_ = before;
   m_.erase(m_.begin(), m_.lower_bound(before));
@@ -103,7 +103,7 @@
   std::erase_if(newest_, [&](auto const& x) { return x.second.v + 10 < before.v; });
 }
 
-std::string usage_body(Window w, std::map<std::string, u64> const& sum) {
+std::string usage_body(UsageWindow w, std::map<std::string, u64> const& sum) {
   rapidjson::StringBuffer sb;
   rapidjson::Writer<rapidjson::StringBuffer> j(sb);
   j.StartObject();
--- a/packages/wire/frame.cpp
+++ b/packages/wire/frame.cpp
@@ -21,27 +21,27 @@
 }
 }  // namespace
 
-void write_head(u8* p, Head const& h) {
+void write_head(u8* p, Header const& h) {
   put32(p, h.size);
   p[4] = h.kind;
   put32(p + 5, h.tag);
 }
-Head read_head(u8 const* p) {
-  return Head{get32(p), p[4], get32(p + 5)};
+Header read_head(u8 const* p) {
+  return Header{get32(p), p[4], get32(p + 5)};
 }
 
 std::string inflate(std::string_view z, u8& kind) {
-  if (z.size() < zip_head) throw codec::Malformed("short parcel");
+  if (z.size() < zip_head) throw codec::MalformedMessage("short parcel");
   kind = static_cast<u8>(z[0]);
-  if (kind == zipped || kind == ping) throw codec::Malformed("parcel of a kind that is never deflated");
+  if (kind == kDeflatedKind || kind == ping) throw codec::MalformedMessage("parcel of a kind that is never deflated");
   uLongf n = get32(reinterpret_cast<u8 const*>(z.data()) + 1);
   std::size_t const data = z.size() - zip_head;
-  if (n > longest || n > data * most_ratio) throw codec::Malformed("parcel too large");
+  if (n > kMaxBodyBytes || n > data * most_ratio) throw codec::MalformedMessage("parcel too large");
   std::string out(n, '\0');
   if (uncompress(reinterpret_cast<Bytef*>(out.data()), &n, reinterpret_cast<Bytef const*>(z.data()) + zip_head, data) !=
           Z_OK ||
       n != out.size())
-    throw codec::Malformed("broken parcel");
+    throw codec::MalformedMessage("broken parcel");
   return out;
 }
 
--- a/packages/wire/include/wire/codec.hpp
+++ b/packages/wire/include/wire/codec.hpp
@@ -20,7 +20,7 @@
 namespace dockbend::codec {
 namespace hana = boost::hana;
 
-struct Malformed : std::runtime_error {
+struct MalformedMessage : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -29,13 +29,13 @@
 template <class T, class Tag>
 struct IsStrong<Strong<T, Tag>> : std::true_type {};
 template <class T>
-struct IsVec : std::false_type {};
+struct IsVector : std::false_type {};
 template <class T>
-struct IsVec<std::vector<T>> : std::true_type {};
+struct IsVector<std::vector<T>> : std::true_type {};
 template <class T>
 concept Record = hana::Struct<T>::value;
 template <class T>
-concept Whole = std::is_integral_v<T> || std::is_enum_v<T>;
+concept IntegerOrEnum = std::is_integral_v<T> || std::is_enum_v<T>;
 
 bool append(pb_ostream_t* st, pb_byte_t const* buf, size_t n);
 
@@ -45,7 +45,7 @@
 void unpack_from(pb_istream_t* in, T& x);
 
 namespace detail {
-template <Whole T>
+template <IntegerOrEnum T>
 constexpr u64 largest() {
   if constexpr (std::is_enum_v<T>)
     return largest<std::underlying_type_t<T>>();
@@ -54,14 +54,14 @@
 }
 
 inline void need(bool ok) {
-  if (!ok) throw Malformed("malformed message");
+  if (!ok) throw MalformedMessage("malformed message");
 }
 
 template <class T>
 void put(pb_ostream_t* st, u32 tag, T const& x) {
   if constexpr (IsStrong<T>::value) {
     put(st, tag, x.v);
-  } else if constexpr (IsVec<T>::value) {
+  } else if constexpr (IsVector<T>::value) {
     for (auto const& e : x) {
       if constexpr (Record<typename T::value_type>) {
         std::string const s = pack(e);
@@ -90,7 +90,7 @@
     pb_encode_tag(st, PB_WT_64BIT, tag);
     pb_encode_fixed64(st, &d);
   } else {
-    static_assert(Whole<T>);
+    static_assert(IntegerOrEnum<T>);
     if (x == T{}) return;
     pb_encode_tag(st, PB_WT_VARINT, tag);
     pb_encode_varint(st, static_cast<u64>(x));
@@ -110,7 +110,7 @@
 void get(pb_istream_t* in, pb_wire_type_t wt, T& x) {
   if constexpr (IsStrong<T>::value) {
     get(in, wt, x.v);
-  } else if constexpr (IsVec<T>::value) {
+  } else if constexpr (IsVector<T>::value) {
     typename T::value_type e{};
     get(in, wt, e);
     x.push_back(std::move(e));
--- a/packages/wire/include/wire/frame.hpp
+++ b/packages/wire/include/wire/frame.hpp
@@ -11,17 +11,17 @@
 
 namespace dockbend::frame {
 
-std::size_t constexpr head_len = 9;
-std::size_t constexpr longest = 64u << 20;  // of a body, deflated or not
-u8 constexpr zipped = 255;                  // the kind of a deflated body
+std::size_t constexpr kHeaderLength = 9;
+std::size_t constexpr kMaxBodyBytes = 64u << 20;  // of a body, deflated or not
+u8 constexpr kDeflatedKind = 255;                 // the kind of a deflated body
 
-struct Head {
+struct Header {
   u32 size = 0;
   u8 kind = 0;
   u32 tag = 0;
 };
-void write_head(u8* p, Head const& h);
-Head read_head(u8 const* p);
+void write_head(u8* p, Header const& h);
+Header read_head(u8 const* p);
 
 // A deflated body says inside what kind it has and how long it is. Throws codec::Malformed
 // unless the whole inflates to just that; never makes room for more than the bytes that
@@ -44,20 +44,20 @@
 template <Source S, class F>
 std::optional<std::string> each(S&& in, F on) {
   while (in.open()) {
-    if (in.size() < head_len) return std::nullopt;
-    u8 p[head_len];
+    if (in.size() < kHeaderLength) return std::nullopt;
+    u8 p[kHeaderLength];
     in.peek(p);
-    Head h = read_head(p);
-    if (h.size > longest) return "a length of " + std::to_string(h.size);
-    if (in.size() < head_len + h.size) return std::nullopt;
+    Header h = read_head(p);
+    if (h.size > kMaxBodyBytes) return "a length of " + std::to_string(h.size);
+    if (in.size() < kHeaderLength + h.size) return std::nullopt;
     u8 const kind = h.kind;
     try {
       std::string body(h.size, '\0');
       in.take(body);
-      if (h.kind == zipped) body = inflate(body, h.kind);
+      if (h.kind == kDeflatedKind) body = inflate(body, h.kind);
       on(h, body);
     } catch (std::exception const& e) {
-      return std::string(e.what()) + " in a letter of kind " + std::to_string(kind == zipped ? h.kind : kind);
+      return std::string(e.what()) + " in a letter of kind " + std::to_string(kind == kDeflatedKind ? h.kind : kind);
     }
   }
   return std::nullopt;
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -24,84 +24,84 @@
 
 namespace {
 
-struct Mate {
-  std::unique_ptr<Link> link;
+struct ControllerLink {
+  std::unique_ptr<PeerLink> link;
   bool feeding = false;
-  Said contact;  // with a majority, as it says itself
-  Mismatch off;
-  Secs pulled = 0, beat_sent = 0, hello_sent = 0, behind = 0;  // behind: since when it names a newer manifest
+  ReportedContact contact;  // with a majority, as it says itself
+  DigestMismatchDetector off;
+  Seconds pulled = 0, beat_sent = 0, hello_sent = 0, behind = 0;  // behind: since when it names a newer manifest
   u32 beats = 0;  // names the newest keepalive; an answer to an earlier one tells no time
 
   double rtt = 0.1;
   std::map<std::string, u32> sites;
-  Life life;
+  Incarnation incarnation;
 };
 
 // The keepalive of the design: 5 s and three misses to begin with. Here a site's
 // machine may be gone between two breaths, and a list that still names it costs its
 // zone everything, so it is shorter.
-Secs const keepalive_s = 0.6;
+Seconds const keepalive_s = 0.6;
 
 class Agent {
  public:
-  Agent(event_base* eb, Settings const& st)
-      : eb_(eb), st_(st), door_(eb, Addr{"127.0.0.1", st.agent()}), claims_(st.zone, st.region, st.nodeName) {
-    door_.on_channel.connect([this](ChannelP c) { took(std::move(c)); });
-    for (Addr const& s : st_.seeds)
+  Agent(event_base* loop, Settings const& st)
+      : loop_(loop), st_(st), door_(loop, Address{"127.0.0.1", st.agent()}), claims_(st.zone, st.region, st.nodeName) {
+    door_.on_channel.connect([this](ConnectionPtr c) { took(std::move(c)); });
+    for (Address const& s : st_.seeds)
       mate(s.ip);
     if (st_.relay() != 0) {
       try {
-        relay_ = std::make_unique<Relay>(eb, Addr{st_.ip, st_.relay()}, st_.innerFirst,
-                                         [this](std::string const& ip) { return mates_.count(ip) > 0; });
+        relay_ = std::make_unique<Relay>(loop, Address{st_.ip, st_.relay()}, st_.innerFirst,
+                                         [this](std::string const& ip) { return controllers_.count(ip) > 0; });
       } catch (std::exception const& e) {
-        LOG4CPLUS_WARN(lg_, "Relays for nobody: " << e.what() << ".");
+        LOG4CPLUS_WARN(logger_, "Relays for nobody: " << e.what() << ".");
       }
     }
-    tick_ = std::make_unique<Ticker>(eb, 0.08, [this] { tick(); });
+    tick_ = std::make_unique<PeriodicTimer>(loop, 0.08, [this] { tick(); });
   }
 
   void settings(Settings const& s) {
     st_.seeds = s.seeds;
     st_.bounds = s.bounds;
-    for (Addr const& a : st_.seeds)
+    for (Address const& a : st_.seeds)
       mate(a.ip);
   }
 
   void term() {
     if (draining_) return;
     draining_ = true;
-    drain_at_ = now_s();
+    drain_at_ = steady_now();
     beat_all();
   }
 
  private:
   // ---- mates -------------------------------------------------------------------
-  Mate& mate(std::string const& ip) {
-    auto const it = mates_.find(ip);
-    if (it != mates_.end()) return it->second;
-    Mate& m = mates_[ip];
-    m.link = std::make_unique<Link>(eb_, Addr{ip, st_.innerFirst}, 1.0,
-                                    1.5);  // our keepalives are answered, so pings are rare
+  ControllerLink& mate(std::string const& ip) {
+    auto const it = controllers_.find(ip);
+    if (it != controllers_.end()) return it->second;
+    ControllerLink& m = controllers_[ip];
+    m.link = std::make_unique<PeerLink>(loop_, Address{ip, st_.innerFirst}, 1.0,
+                                        1.5);  // our keepalives are answered, so pings are rare
     m.link->relays([this] { return relays_; });
-    m.link->on_up.connect([this, ip](Link& l) {
-      Hello h;
+    m.link->on_up.connect([this, ip](PeerLink& l) {
+      HandshakeRequest h;
       h.role = 2;
       h.ip = st_.ip;
       h.zone = st_.zone;
       h.region = st_.region;
       h.node = st_.nodeName;
       h.front = front();
-      l.send(Kind::hello, 0, h);
-      mates_[ip].hello_sent = now_s();
-      mates_[ip].contact.reset();
-      l.ch()->send(Kind::probe, 0, std::string_view());
+      l.send(MessageType::handshake_request, 0, h);
+      controllers_[ip].hello_sent = steady_now();
+      controllers_[ip].contact.reset();
+      l.ch()->send(MessageType::contact_probe, 0, std::string_view());
       feeds();
-      if (mates_[ip].feeding) beat(ip, mates_[ip]);
+      if (controllers_[ip].feeding) beat(ip, controllers_[ip]);
       claims_.up(ip, l.connection(), l.relayed());
       say_claims();
     });
-    m.link->on_down.connect([this, ip](Link&) {
-      Mate& x = mates_[ip];
+    m.link->on_down.connect([this, ip](PeerLink&) {
+      ControllerLink& x = controllers_[ip];
       x.feeding = false;
       x.off.reset();
       x.sites.clear();
@@ -114,7 +114,7 @@
         beat_all();
       }
     });
-    m.link->on_letter.connect([this, ip](Link& k, Letter const& l) { letter(ip, k, l); });
+    m.link->on_message.connect([this, ip](PeerLink& k, Message const& l) { handle_message(ip, k, l); });
     return m;
   }
 
@@ -128,70 +128,71 @@
     return 3;
   }
 
-  void beat(std::string const& ip, Mate& m) {
-    SiteBeat b;
+  void beat(std::string const& ip, ControllerLink& m) {
+    ProxyHeartbeat b;
     b.front = front();
     b.zone = st_.zone;
     b.region = st_.region;
-    b.ready = ready_ && !draining_ && now_s() - proxy_heard_ < 2.0;
+    b.ready = ready_ && !draining_ && steady_now() - proxy_heard_ < 2.0;
     b.load = load_;
-    b.bal = have_ ? state_.bal : Ballot();
+    b.ballot = have_ ? state_.ballot : Ballot();
     b.primary = ip == primary_;
     if (said_.stage > 0) b.drain = word_;
-    b.strays = claims_.strays().all();
-    m.beat_sent = now_s();
-    m.link->send(Kind::beat, ++m.beats, b);
+    b.unmatched = claims_.unmatched().all();
+    m.beat_sent = steady_now();
+    m.link->send(MessageType::proxy_heartbeat, ++m.beats, b);
   }
   // The site registers with the directories that feed it; the nearest tells the rest.
   void beat_all() {
-    for (auto& [ip, m] : mates_)
+    for (auto& [ip, m] : controllers_)
       if (m.feeding && m.link->up()) beat(ip, m);
   }
 
-  void letter(std::string const& ip, Link& link, Letter const& l) {
-    Mate& m = mates_[ip];
-    Secs const now = now_s();
+  void handle_message(std::string const& ip, PeerLink& link, Message const& l) {
+    ControllerLink& m = controllers_[ip];
+    Seconds const now = steady_now();
     switch (l.kind) {
-      case Kind::helloR: {
-        HelloR const h = l.as<HelloR>();
-        m.life = h.life;
+      case MessageType::handshake_response: {
+        HandshakeResponse const h = l.as<HandshakeResponse>();
+        m.incarnation = h.incarnation;
         if (m.hello_sent > 0) {
           m.rtt = std::min(1.0, now - m.hello_sent);
           claims_.rtt(ip, m.rtt);
-          if (h.wall > 0) clock_.mate(ip, now - 0.5 * m.rtt, h.wall);
+          if (h.wall > 0) clock_.peer_reading(ip, now - 0.5 * m.rtt, h.wall);
           m.hello_sent = 0;
         }
-        for (std::string const& x : h.mates)
+        for (std::string const& x : h.controllers)
           if (is_ip(x)) mate(x);
         break;
       }
-      case Kind::beatR: {
-        SiteBeatR const r = l.as<SiteBeatR>();
+      case MessageType::proxy_heartbeat_response: {
+        ProxyHeartbeatResponse const r = l.as<ProxyHeartbeatResponse>();
         if (l.tag == m.beats) {
           m.rtt = m.rtt * 0.7 + 0.3 * (now - m.beat_sent);
           claims_.rtt(ip, m.rtt);
-          if (r.wall > 0) clock_.mate(ip, now - 0.5 * (now - m.beat_sent), r.wall);
+          if (r.wall > 0) clock_.peer_reading(ip, now - 0.5 * (now - m.beat_sent), r.wall);
         }
         m.contact.hear(r.in_contact, now);
         if (!r.sites.empty()) {  // said only when it changed
           m.sites.clear();
-          for (ZoneCount const& z : r.sites)
+          for (ZoneProxyCount const& z : r.sites)
             m.sites[z.zone] = z.n;
           tell_sites();
         }
         if (!r.relays.empty() && !m.link->relayed()) {
           relays_.clear();
           for (std::string const& x : r.relays)
-            if (is_ip(x)) relays_.push_back(Addr{x, st_.relay()});
+            if (is_ip(x)) relays_.push_back(Address{x, st_.relay()});
         }
         // Orders out of contact may be old.
-        if (ip == primary_ && r.in_contact && (r.drain.stage != said_.stage || r.drain.life != said_.life)) {
+        if (ip == primary_ && r.in_contact &&
+            (r.drain.stage != said_.stage || r.drain.incarnation != said_.incarnation)) {
           said_ = r.drain;
-          if (proxy_) proxy_->send(Kind::drain, 0, said_);
+          if (proxy_) proxy_->send(MessageType::drain_instruction, 0, said_);
         }
         // News comes by itself. Only who stays behind asks, for what it lacks.
         // Who has nothing takes what may be old only if nobody has had better for a while.
-        bool const late = have_ ? r.bal > state_.bal : r.in_contact || now - start_ > st_.bounds.applyBoundS;
+        bool const late = have_ ? r.ballot > state_.ballot : r.in_contact || now - start_ > st_.bounds.applyBoundS;
         if (!late) {
           m.behind = 0;
         } else if (m.behind == 0) {
@@ -199,59 +200,59 @@
         }
         if (late && (!have_ || now - m.behind > 0.5) && now - m.pulled > 1.0) {
           m.pulled = now;
-          m.link->send(Kind::pull, 0, Pull{have_ ? state_.bal : Ballot()});
+          m.link->send(MessageType::catch_up_request, 0, CatchUpRequest{have_ ? state_.ballot : Ballot()});
         }
         if (m.feeding && r.in_contact && m.off.hear(roll_.digest(), r.digest))
-          m.link->send(Kind::feed, 0, Feed{true, have_ ? state_.bal : Ballot()});
+          m.link->send(MessageType::subscribe, 0, SubscribeRequest{true, have_ ? state_.ballot : Ballot()});
         break;
       }
-      case Kind::probeR: m.contact.hear(l.as<ProbeR>().left > 0, now); break;
-      case Kind::news: news(l.as<News>(), now, ip); break;
-      case Kind::commitR: {
-        Commit const c = l.as<Commit>();
+      case MessageType::contact_probe_response: m.contact.hear(l.as<ContactProbeResponse>().left > 0, now); break;
+      case MessageType::state_update: news(l.as<StateUpdate>(), now, ip); break;
+      case MessageType::catch_up_response: {
+        CommitNotice const c = l.as<CommitNotice>();
         if (!c.state.empty())
           take(read_state(c.state));
         else if (!c.delta.empty())
           take_delta(read_delta(c.delta), ip);
         break;
       }
-      case Kind::loanR: {
-        if (proxy_) proxy_->send(Kind::loanR, 0, l.body);
+      case MessageType::quota_lease_response: {
+        if (proxy_) proxy_->send(MessageType::quota_lease_response, 0, l.body);
         break;
       }
-      case Kind::survey: {
-        surveyed_by_[l.as<SurveyAsk>().id] = {ip, now + 10};
-        if (proxy_) proxy_->send(Kind::survey, l.tag, l.body);
+      case MessageType::survey_request: {
+        surveyed_by_[l.as<SurveyRequest>().id] = {ip, now + 10};
+        if (proxy_) proxy_->send(MessageType::survey_request, l.tag, l.body);
         break;
       }
-      case Kind::claimR:
-        claims_.heard(ip, link.connection(), l.tag, l.as<ClaimR>(), now);
+      case MessageType::claim_response:
+        claims_.heard(ip, link.connection(), l.tag, l.as<ClaimResponse>(), now);
         say_claims();
         break;
-      case Kind::hold: {
+      case MessageType::stage_request: {
         // The proxy says whether it holds it; without a proxy nobody answers.
-        Hold const h = l.as<Hold>();
-        if (proxy_) proxy_->send(Kind::hold, 0, l.body);
+        StageRequest const h = l.as<StageRequest>();
+        if (proxy_) proxy_->send(MessageType::stage_request, 0, l.body);
         if (h.drop)
           held_by_.erase(h.id);
         else
           held_by_[h.id] = {ip, now + h.for_ms / 1000.0};
         break;
       }
-      case Kind::fetchR:
-        claims_.heard(ip, link.connection(), l.tag, l.as<FetchR>());
+      case MessageType::fetch_answer_response:
+        claims_.heard(ip, link.connection(), l.tag, l.as<FetchAnswerResponse>());
         say_claims();
         break;
-      default: ++bad_input().letters; break;
+      default: ++rejected_input().letters; break;
     }
   }
 
-  void news(News const& n, Secs now, std::string const& from) {
+  void news(StateUpdate const& n, Seconds now, std::string const& from) {
     if (!n.state.empty())
       take(read_state(n.state));
     else if (!n.delta.empty())
       take_delta(read_delta(n.delta), from);
-    for (Row const& r : n.rows) {
+    for (ServerRecord const& r : n.rows) {
       u64 const d = roll_.digest();
       if (roll_.join(r, now) || d != roll_.digest()) rows_dirty_.insert(r.id);
     }
@@ -260,43 +261,43 @@
         rows_dirty_.insert(std::move(id));
   }
 
-  void take_delta(Delta const& d, std::string const& from) {
-    if (!have_ || d.bal <= state_.bal) return;
-    State s = state_;
+  void take_delta(StateDelta const& d, std::string const& from) {
+    if (!have_ || d.ballot <= state_.ballot) return;
+    ReplicatedState s = state_;
     if (apply(s, d)) return take(std::move(s), &d);
-    Mate& m = mates_[from];
-    if (m.link->up() && now_s() - m.pulled > 0.3) {
-      m.pulled = now_s();
-      m.link->send(Kind::pull, 0, Pull{state_.bal});
+    ControllerLink& m = controllers_[from];
+    if (m.link->up() && steady_now() - m.pulled > 0.3) {
+      m.pulled = steady_now();
+      m.link->send(MessageType::catch_up_request, 0, CatchUpRequest{state_.ballot});
     }
   }
 
   // Takes what a majority holds; a node never steps back.
-  void take(State s, Delta const* d = nullptr) {
-    if (have_ && s.bal <= state_.bal) return;
+  void take(ReplicatedState s, StateDelta const* d = nullptr) {
+    if (have_ && s.ballot <= state_.ballot) return;
     state_ = std::move(s);
     have_ = true;
-    for (Member const& m : state_.roster)
+    for (Member const& m : state_.membership)
       if (is_ip(m.ip)) mate(m.ip);
     tell_state(d);
-    totals_.forget(Window(state_.to_fix));
-    claims_.roster(state_, now_s());
+    totals_.forget(UsageWindow(state_.to_fix));
+    claims_.membership(state_, steady_now());
     say_claims();
   }
 
   // ---- the proxy -----------------------------------------------------------------
-  void took(ChannelP c) {
+  void took(ConnectionPtr c) {
     if (proxy_) proxy_->close();
     proxy_ = c;
     claims_.proxy(c->id());
     say_claims();
-    c->on_letter.connect([this](Channel& ch, Letter const& l) { from_proxy(ch, l); });
-    c->on_down.connect([this](Channel& ch) {
+    c->on_message.connect([this](Connection& ch, Message const& l) { from_proxy(ch, l); });
+    c->on_down.connect([this](Connection& ch) {
       if (proxy_.get() == &ch) {
         ready_ = false;
         claims_.proxy(0);
         say_claims();
-        after(eb_, 0, [this, p = proxy_] {
+        after(loop_, 0, [this, p = proxy_] {
           if (proxy_ == p) proxy_.reset();
         });
         beat_all();
@@ -305,78 +306,78 @@
     told_bal_.reset();
     tell_state(nullptr);
     rows_all_ = true;
-    word_ = DrainWord();
-    if (said_.stage > 0) c->send(Kind::drain, 0, said_);
+    word_ = ProxyDrainStatus();
+    if (said_.stage > 0) c->send(MessageType::drain_instruction, 0, said_);
     sites_told_.clear();
     clock_told_ = 0;
     tell_sites();
   }
 
   // The whole at first, then what changed.
-  void tell_state(Delta const* d) {
+  void tell_state(StateDelta const* d) {
     if (!proxy_ || !have_) return;
-    News n;
+    StateUpdate n;
     if (d != nullptr && told_bal_ == d->base)
       n.delta = codec::pack(*d);
     else
       n.state = codec::pack(state_);
-    told_bal_ = state_.bal;
-    proxy_->send(Kind::news, 0, n);
+    told_bal_ = state_.ballot;
+    proxy_->send(MessageType::state_update, 0, n);
   }
-  void tell_rows(Secs now) {
+  void tell_rows(Seconds now) {
     if (!proxy_ || (rows_dirty_.empty() && !rows_all_)) return;
-    News n;
+    StateUpdate n;
     n.rows_full = rows_all_;
     if (rows_all_) {
-      for (Row& r : roll_.all(now))
-        if (r.state != Standing::gone) n.rows.push_back(std::move(r));
+      for (ServerRecord& r : roll_.all(now))
+        if (r.state != ServerState::gone) n.rows.push_back(std::move(r));
     } else {
       for (std::string const& id : rows_dirty_)
         if (auto r = roll_.get(id, now)) n.rows.push_back(std::move(*r));
     }
     rows_dirty_.clear();
     rows_all_ = false;
-    proxy_->send(Kind::news, 0, n);
+    proxy_->send(MessageType::state_update, 0, n);
   }
-  void tell_clock(Secs now) {
+  void tell_clock(Seconds now) {
     if (!proxy_ || now - clock_told_ < 1.0) return;
     clock_told_ = now;
-    ClockSaid c;
-    c.wall = clock_.at(now_s());
-    proxy_->send(Kind::clock, 0, c);
+    ClockReading c;
+    c.wall = clock_.at(steady_now());
+    proxy_->send(MessageType::clock_reading, 0, c);
   }
   // Counts go to the nearest directory, which brings them to the node that reports.
-  void tell_tally(Secs now) {
+  void tell_tally(Seconds now) {
     if (now - tallied_ < 0.5 || primary_.empty()) return;
     tallied_ = now;
-    TallyNote const n = totals_.take(tally_all_);
+    UsageUpdate const n = totals_.take(tally_all_);
     tally_all_ = false;
-    if (!n.rows.empty()) mates_[primary_].link->send(Kind::tally, 0, n);
+    if (!n.rows.empty()) controllers_[primary_].link->send(MessageType::usage_update, 0, n);
   }
   // The most that any directory counts in a zone: who knows less is more careful.
   void tell_sites() {
     std::map<std::string, u32> mx;
-    for (auto const& [ip, m] : mates_)
+    for (auto const& [ip, m] : controllers_)
       if (m.link->up())
         for (auto const& [z, n] : m.sites)
           mx[z] = std::max(mx[z], n);
     if (mx.empty() || mx == sites_told_ || !proxy_) return;
     sites_told_ = mx;
-    News n;
+    StateUpdate n;
     for (auto const& [z, c] : mx) {
-      ZoneCount zc;
+      ZoneProxyCount zc;
       zc.zone = z;
       zc.n = c;
       n.sites.push_back(zc);
     }
-    proxy_->send(Kind::news, 0, n);
+    proxy_->send(MessageType::state_update, 0, n);
   }
 
-  void from_proxy(Channel& ch, Letter const& l) {
-    proxy_heard_ = now_s();
+  void from_proxy(Connection& ch, Message const& l) {
+    proxy_heard_ = steady_now();
     switch (l.kind) {
-      case Kind::load: {
-        Load const x = l.as<Load>();
+      case MessageType::proxy_load: {
+        ProxyLoadReport const x = l.as<ProxyLoadReport>();
         bool const was = ready_;
         ready_ = x.ready;
         load_ = x.load;
@@ -385,78 +386,80 @@
         if (was != ready_) beat_all();
         break;
       }
-      case Kind::ask:
-        claims_.ask(ch.id(), l.tag, l.as<Ask>(), now_s());
+      case MessageType::acquire_key_request:
+        claims_.ask(ch.id(), l.tag, l.as<AcquireKeyRequest>(), steady_now());
         say_claims();
         break;
-      case Kind::done:
-        claims_.told(l.as<Told>());
+      case MessageType::key_outcome:
+        claims_.told(l.as<KeyOutcomeNotice>());
         say_claims();
         break;
-      case Kind::tally:
-        for (TallyRow const& r : l.as<TallyNote>().rows)
+      case MessageType::usage_update:
+        for (UsageRow const& r : l.as<UsageUpdate>().rows)
           totals_.join(r);
         break;
-      case Kind::loan: {
-        Term const* t = have_ ? state_.term("allowance") : nullptr;
-        auto const it = t == nullptr ? mates_.end() : mates_.find(t->ip);
-        if (it != mates_.end() && it->second.link->up()) it->second.link->ch()->send(Kind::loan, 0, l.body);
+      case MessageType::quota_lease_request: {
+        Lease const* t = have_ ? state_.term("allowance") : nullptr;
+        auto const it = t == nullptr ? controllers_.end() : controllers_.find(t->ip);
+        if (it != controllers_.end() && it->second.link->up())
+          it->second.link->ch()->send(MessageType::quota_lease_request, 0, l.body);
         break;
       }
-      case Kind::surveyR:
+      case MessageType::survey_response:
         // To whoever asked this one; another may ask meanwhile.
-        if (auto const it = surveyed_by_.find(l.as<Survey>().id); it != surveyed_by_.end())
-          if (Mate& m = mates_[it->second.first]; m.link->up()) m.link->ch()->send(Kind::surveyR, l.tag, l.body);
+        if (auto const it = surveyed_by_.find(l.as<TrafficSurvey>().id); it != surveyed_by_.end())
+          if (ControllerLink& m = controllers_[it->second.first]; m.link->up())
+            m.link->ch()->send(MessageType::survey_response, l.tag, l.body);
         break;
-      case Kind::holdR: {
-        HoldR const r = l.as<HoldR>();
+      case MessageType::stage_response: {
+        StageResponse const r = l.as<StageResponse>();
         auto const it = held_by_.find(r.id);
         if (it == held_by_.end()) break;
-        Mate& m = mates_[it->second.first];
-        if (m.link && m.link->ch() != nullptr) m.link->ch()->send(Kind::holdR, 0, l.body);
+        ControllerLink& m = controllers_[it->second.first];
+        if (m.link && m.link->ch() != nullptr) m.link->ch()->send(MessageType::stage_response, 0, l.body);
         break;
       }
-      default: ++bad_input().letters; break;
+      default: ++rejected_input().letters; break;
     }
   }
 
   // ---- keys: what the claims want sent -----------------------------------------------
   void say_claims() {
-    for (ClaimStep const& x : claims_.take())
+    for (ClaimAction const& x : claims_.take())
       std::visit([this](auto const& y) { say(y); }, x);
   }
   template <class T>
-  void to_disk(std::string const& ip, Kind k, u32 tag, T const& x) {
-    if (auto const it = mates_.find(ip); it != mates_.end()) it->second.link->send(k, tag, x);
+  void to_disk(std::string const& ip, MessageType k, u32 tag, T const& x) {
+    if (auto const it = controllers_.find(ip); it != controllers_.end()) it->second.link->send(k, tag, x);
   }
-  void say(ClaimOut const& x) { to_disk(x.to, Kind::claim, x.tag, x.claim); }
-  void say(ReleaseOut const& x) { to_disk(x.to, Kind::release, 0, x.release); }
-  void say(FetchOut const& x) { to_disk(x.to, Kind::fetch, x.tag, x.fetch); }
-  void say(StoreOut const& x) {
-    if (Channel* const c = mates_[x.to].link->ch(); c != nullptr)
-      c->send(Kind::store, 1, std::string_view(x.answer));  // it sees to the second copy
+  void say(SendClaim const& x) { to_disk(x.to, MessageType::claim_request, x.tag, x.claim); }
+  void say(SendRelease const& x) { to_disk(x.to, MessageType::release_request, 0, x.release); }
+  void say(SendFetch const& x) { to_disk(x.to, MessageType::fetch_answer_request, x.tag, x.fetch); }
+  void say(SendStore const& x) {
+    if (Connection* const c = controllers_[x.to].link->ch(); c != nullptr)
+      c->send(MessageType::store_answer, 1, std::string_view(x.answer));  // it sees to the second copy
   }
-  void say(PullOut const& x) {
-    Mate& m = mates_[x.to];
-    if (now_s() - m.pulled <= 0.05) return;
-    m.pulled = now_s();
-    m.link->send(Kind::pull, 0, Pull{state_.bal});
+  void say(SendCatchUp const& x) {
+    ControllerLink& m = controllers_[x.to];
+    if (steady_now() - m.pulled <= 0.05) return;
+    m.pulled = steady_now();
+    m.link->send(MessageType::catch_up_request, 0, CatchUpRequest{state_.ballot});
   }
-  void say(AnswerOut const& x) {
-    if (proxy_ && proxy_->id() == x.asker) proxy_->send(Kind::askR, x.tag, x.answer);
+  void say(SendAnswer const& x) {
+    if (proxy_ && proxy_->id() == x.asker) proxy_->send(MessageType::acquire_key_response, x.tag, x.answer);
   }
 
   // ---- loops -------------------------------------------------------------------------
   void tick() {
-    Secs const now = now_s();
+    Seconds const now = steady_now();
     if (now - last_tick_ > 1.0 && last_tick_ > 0) beat_all();
     last_tick_ = now;
-    clock_.own(now, wall_s());
+    clock_.own(now, wall_clock_now());
     if (now - bad_at_ > 10) {
       bad_at_ = now;
-      say_bad_input();
+      log_rejected_input();
     }
-    for (auto& [ip, m] : mates_)
+    for (auto& [ip, m] : controllers_)
       m.link->tick(now);
     if (relay_) relay_->tick(now);
     tell_rows(now);
@@ -467,9 +470,9 @@
     if (now - measured_ > 10) {
       measured_ = now;
       if (std::string const t = sent_by_kind(); !t.empty())
-        LOG4CPLUS_INFO(lg_, "Sent by kind, letters/bytes: " << t << ".");
-      if (std::string const t = claims_.strays().news(); !t.empty())
-        LOG4CPLUS_INFO(lg_, "Dropped, for no open question fits: " << t << ".");
+        LOG4CPLUS_INFO(logger_, "Sent by kind, letters/bytes: " << t << ".");
+      if (std::string const t = claims_.unmatched().news(); !t.empty())
+        LOG4CPLUS_INFO(logger_, "Dropped, for no open question fits: " << t << ".");
     }
     if (now - last_beat_ > keepalive_s) {
       last_beat_ = now;
@@ -479,24 +482,24 @@
       // Who feeds us says so with each keepalive; who was out of contact is asked. Near ones
       // hear our keepalive: clients that reach them may ask them where we are.
       std::vector<std::string> const nearest = feeders(false);
-      for (auto& [ip, m] : mates_) {
+      for (auto& [ip, m] : controllers_) {
         if (!m.link->up() || m.feeding || !m.contact.out()) continue;
         if (std::find(nearest.begin(), nearest.end(), ip) != nearest.end())
           beat(ip, m);
         else
-          m.link->ch()->send(Kind::probe, 0, std::string_view());
+          m.link->ch()->send(MessageType::contact_probe, 0, std::string_view());
       }
       roll_.purge(90, now);
     }
     feeds();
     if (draining_ && ((!proxy_ && now - drain_at_ > 0.5) || now - drain_at_ > st_.bounds.gracePeriodS - 0.2))
-      event_base_loopbreak(eb_);
+      event_base_loopbreak(loop_);
   }
 
   std::vector<std::string> feeders(bool by_contact) const {
-    Secs const now = now_s();
-    std::vector<Candidate> up;
-    for (auto const& [ip, m] : mates_)
+    Seconds const now = steady_now();
+    std::vector<ControllerCandidate> up;
+    for (auto const& [ip, m] : controllers_)
       if (m.link->up())
         up.push_back({ip, by_contact ? m.contact.rank(now, m.feeding) : 0, tier(ip), hash64(ip + st_.nodeName)});
     return choose_feeders(std::move(up), 2);
@@ -512,43 +515,43 @@
       primary_ = first;
       tally_all_ = true;
     }
-    for (auto& [ip, m] : mates_) {
+    for (auto& [ip, m] : controllers_) {
       bool const w = want.count(ip) > 0;
       if (w == m.feeding || !m.link->up()) continue;
       m.feeding = w;
       m.off.reset();
-      m.link->send(Kind::feed, 0, Feed{w, have_ ? state_.bal : Ballot()});
+      m.link->send(MessageType::subscribe, 0, SubscribeRequest{w, have_ ? state_.ballot : Ballot()});
       if (w) beat(ip, m);
     }
   }
 
-  event_base* eb_;
+  event_base* loop_;
   Settings st_;
-  Door door_;
-  std::unique_ptr<Ticker> tick_;
-  std::map<std::string, Mate> mates_;
-  ChannelP proxy_;
-  State state_;
+  Listener door_;
+  std::unique_ptr<PeriodicTimer> tick_;
+  std::map<std::string, ControllerLink> controllers_;
+  ConnectionPtr proxy_;
+  ReplicatedState state_;
   bool have_ = false, ready_ = false, draining_ = false, rows_all_ = true, tally_all_ = false;
   std::set<std::string> rows_dirty_;  // rows that the proxy has yet to hear of
   std::optional<Ballot> told_bal_;    // what the proxy has on this channel
   std::string primary_;
   std::unique_ptr<Relay> relay_;  // for mates that are cut off from the core
-  std::vector<Addr> relays_;      // mates that would do as much for us
-  TrueClock clock_;
-  Totals totals_;  // what our proxy counted and nobody reported yet
-  Secs clock_told_ = 0, tallied_ = 0, measured_ = 0;
+  std::vector<Address> relays_;   // mates that would do as much for us
+  MedianClock clock_;
+  UsageTotals totals_;  // what our proxy counted and nobody reported yet
+  Seconds clock_told_ = 0, tallied_ = 0, measured_ = 0;
   double load_ = 0;
-  DrainSaid said_;     // what our primary says of a drain
-  DrainWord word_;     // what the proxy says of it
-  std::string front_;  // where the clients find the proxy, as it says itself
-  Secs start_ = now_s(), proxy_heard_ = 0, last_beat_ = 0, drain_at_ = 0, last_tick_ = 0, bad_at_ = 0;
-  Roll roll_;
+  DrainInstruction said_;  // what our primary says of a drain
+  ProxyDrainStatus word_;  // what the proxy says of it
+  std::string front_;      // where the clients find the proxy, as it says itself
+  Seconds start_ = steady_now(), proxy_heard_ = 0, last_beat_ = 0, drain_at_ = 0, last_tick_ = 0, bad_at_ = 0;
+  ServerRegistry roll_;
   std::map<std::string, u32> sites_told_;
-  Claims<> claims_;
-  std::map<u64, std::pair<std::string, Secs>> held_by_;      // rollouts held: who asked, until when
-  std::map<u64, std::pair<std::string, Secs>> surveyed_by_;  // the same of surveys
-  log4cplus::Logger lg_ = log4cplus::Logger::getInstance("page");
+  ClaimCoordinator<> claims_;
+  std::map<u64, std::pair<std::string, Seconds>> held_by_;      // rollouts held: who asked, until when
+  std::map<u64, std::pair<std::string, Seconds>> surveyed_by_;  // the same of surveys
+  log4cplus::Logger logger_ = log4cplus::Logger::getInstance("agent");
 };
 
 }  // namespace
--- a/programs/dockbend.cpp
+++ b/programs/dockbend.cpp
@@ -78,9 +78,9 @@
   std::string body, location;
 };
 
-Got call(Addr const& at, evhttp_cmd_type cmd, std::string const& path, std::string const& body, int timeout) {
-  event_base* eb = event_base_new();
-  evhttp_connection* c = evhttp_connection_base_new(eb, nullptr, at.ip.c_str(), static_cast<ev_uint16_t>(at.port));
+Got call(Address const& at, evhttp_cmd_type cmd, std::string const& path, std::string const& body, int timeout) {
+  event_base* loop = event_base_new();
+  evhttp_connection* c = evhttp_connection_base_new(loop, nullptr, at.ip.c_str(), static_cast<ev_uint16_t>(at.port));
   evhttp_connection_set_timeout(c, timeout);
   Got g;
   evhttp_request* r = evhttp_request_new(
@@ -101,9 +101,9 @@
   evhttp_add_header(h, "Content-Type", "application/json");
   if (!body.empty()) evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
   evhttp_make_request(c, r, cmd, path.c_str());
-  event_base_dispatch(eb);
+  event_base_dispatch(loop);
   evhttp_connection_free(c);
-  event_base_free(eb);
+  event_base_free(loop);
   return g;
 }
 
@@ -142,7 +142,7 @@
 
 // What the command line says, apart from the command itself.
 struct Options {
-  std::vector<Addr> at;
+  std::vector<Address> at;
   bool as_json = false, if_fits = false;
   int timeout = 5;
   std::string save;
@@ -155,7 +155,7 @@
 // Asks one node after the other, and goes where they send us.
 Got ask(Options const& o, evhttp_cmd_type cmd, std::string const& path, std::string const& body) {
   Got g;
-  for (Addr const& a : o.at) {
+  for (Address const& a : o.at) {
     g = call(a, cmd, path, body, o.timeout);
     for (int hops = 0; g.code == 307 && hops < 2; ++hops) {
       std::string const pre = "http://";
@@ -163,9 +163,9 @@
       auto const slash = g.location.find('/', pre.size());
       if (slash == std::string::npos) break;
       try {
-        Addr const next = parse_addr(g.location.substr(pre.size(), slash - pre.size()), "Location");
+        Address const next = parse_addr(g.location.substr(pre.size(), slash - pre.size()), "Location");
         g = call(next, cmd, g.location.substr(slash), body, o.timeout);
-      } catch (BadSetting const&) {
+      } catch (SettingsError const&) {
         break;
       }
     }
@@ -191,11 +191,11 @@
   return rc_failed;
 }
 
-int survey(Options const& o, Capture& c) {
+int survey(Options const& o, FleetSnapshot& c) {
   Got const g = ask(o, EVHTTP_REQ_GET, "/-/Survey", "");
   if (int const rc = complain(o, g)) return rc;
   try {
-    c = json::parse_as<Capture>(g.body);
+    c = json::parse_as<FleetSnapshot>(g.body);
   } catch (json::Fault const& e) {
     std::fprintf(stderr, "dockbend: an answer that can't be read: %s\n", e.what());
     return rc_failed;
@@ -203,37 +203,37 @@
   return rc_ok;
 }
 
-void print(Forecast const& f) {
+void print(EvacuationForecast const& f) {
   std::string zones;
   for (std::string const& z : f.gone)
     zones += (zones.empty() ? "" : ", ") + z;
   std::printf("without: %s\nproxies heard: %u\n", zones.c_str(), f.proxiesHeard);
-  std::printf("age: %.1f s\n", std::max(0.0, wall_s() - f.takenAt));
+  std::printf("age: %.1f s\n", std::max(0.0, wall_clock_now() - f.takenAt));
   for (std::string const& s : f.silent)
     std::printf("  not heard: %s\n", s.c_str());
   if (f.partial) std::printf("PARTIAL: some proxies were not heard, or the node asked is out of touch\n");
   std::printf("%-16s %-16s %-11s %10s %10s\n", "zone", "route", "kind", "now /s", "after /s");
-  for (LaneFlow const& l : f.flows)
-    std::printf("%-16s %-16s %-11s %10.1f %10.1f\n", l.zone.c_str(), l.lane.c_str(), l.kind.c_str(), l.now, l.after);
+  for (RouteFlow const& l : f.flows)
+    std::printf("%-16s %-16s %-11s %10.1f %10.1f\n", l.zone.c_str(), l.route.c_str(), l.kind.c_str(), l.now, l.after);
   std::printf("%-16s %-16s %8s %8s %9s %9s\n", "zone", "service", "servers", "slots", "used now", "after");
-  for (ZoneLoad const& z : f.loads)
+  for (ZoneUtilization const& z : f.loads)
     std::printf("%-16s %-16s %8u %8.0f %8.0f%% %8.0f%%%s\n", z.zone.c_str(), z.service.c_str(), z.servers, z.slots,
                 100 * z.usedNow / z.slots, 100 * z.usedAfter / z.slots, z.overloaded ? "  OVERLOADED" : "");
-  for (Unserved const& u : f.unserved)
-    std::printf("%s %s: %.1f /s %s\n", u.lane.c_str(), u.kind.c_str(), u.rate,
+  for (UnservedRate const& u : f.unserved)
+    std::printf("%s %s: %.1f /s %s\n", u.route.c_str(), u.kind.c_str(), u.rate,
                 u.homeless ? "HOMELESS: no server may take them" : "would be turned away");
   std::printf("fits: %s\n", f.fits ? "yes" : "no");
 }
 
 int preview(Options const& o, std::set<std::string> const& zones, bool quiet) {
-  Capture c;
+  FleetSnapshot c;
   if (int const rc = survey(o, c)) return rc;
   for (std::string const& z : zones)
-    if (std::none_of(c.zones.begin(), c.zones.end(), [&](CapZone const& x) { return x.zone == z; })) {
+    if (std::none_of(c.zones.begin(), c.zones.end(), [&](ZoneSnapshot const& x) { return x.zone == z; })) {
       std::fprintf(stderr, "dockbend: no such zone: %s\n", z.c_str());
       return rc_failed;
     }
-  Forecast const f = forecast(c, zones, ForecastPlan{});
+  EvacuationForecast const f = forecast(c, zones, ForecastOptions{});
   std::string const text = json::render(f);
   if (!o.save.empty()) {
     std::ofstream out(o.save);
@@ -250,24 +250,24 @@
   return f.fits ? rc_ok : rc_unfit;
 }
 
-void print(std::vector<Lack> const& lacks) {
-  for (Lack const& l : lacks)
+void print(std::vector<CapacityShortfall> const& lacks) {
+  for (CapacityShortfall const& l : lacks)
     std::printf("%s lacks room for %s: %.1f /s, load would be %.2f, at most %.2f is wanted\n", l.region.c_str(),
                 l.kind.c_str(), l.rate, l.load, l.wanted);
 }
 
-void print(WavePlan const& p) {
-  std::printf("headroom: %.2f\nage: %.1f s\n", p.headroom, std::max(0.0, wall_s() - p.takenAt));
+void print(DrainWavePlan const& p) {
+  std::printf("headroom: %.2f\nage: %.1f s\n", p.headroom, std::max(0.0, wall_clock_now() - p.takenAt));
   for (std::string const& s : p.silent)
     std::printf("  not heard: %s\n", s.c_str());
   if (p.partial) std::printf("PARTIAL: some proxies were not heard, or the node asked is out of touch\n");
   std::size_t n = 0;
-  for (Wave const& w : p.waves) {
+  for (DrainWave const& w : p.waves) {
     std::printf("wave %zu: %zu nodes\n ", ++n, w.nodes.size());
     for (std::string const& x : w.nodes)
       std::printf(" %s", x.c_str());
     std::printf("\n");
-    for (RegionAfter const& r : w.regions)
+    for (RegionForecast const& r : w.regions)
       std::printf("  %-16s %3u nodes serve, load %.2f now, %.2f after, busiest %.2f\n", r.region.c_str(), r.nodes,
                   r.now, r.load, r.peak);
     for (KindRate const& k : w.kinds)
@@ -282,7 +282,7 @@
   if (p.partial) std::printf("PARTIAL: some proxies were not heard; who may hold more counts as busy\n");
   std::printf("%-20s %-16s %-16s %8s %10s %6s %9s\n", "server", "service", "zone", "uploads", "bytes", "keyed",
               "sessions");
-  for (Leaving const& l : p.order)
+  for (ServerDeparture const& l : p.order)
     std::printf("%-20s %-16s %-16s %8u %10.0f %6u %9u\n", l.id.c_str(), l.service.c_str(), l.zone.c_str(), l.uploads,
                 l.bytes, l.keyed, l.sessions);
   print(p.lacks);
@@ -291,9 +291,9 @@
 
 // Plans, and with `start` sends what was planned.
 int pass_over(Options const& o, bool servers, bool start, std::vector<std::string> const& names) {
-  Capture c;
+  FleetSnapshot c;
   if (int const rc = survey(o, c)) return rc;
-  Order order;
+  DrainOrder order;
   bool fits = false;
   try {
     u64 const id = random64() >> 16 | 1;
@@ -306,7 +306,7 @@
       fits = p.fits;
       order = server_order(c, p, id, o.patience, o.replaced);
     } else {
-      WavePlan const p = plan_waves(c, nodes_named(c, names), o.headroom);
+      DrainWavePlan const p = plan_waves(c, nodes_named(c, names), o.headroom);
       if (o.as_json && !start)
         std::printf("%s\n", json::render(p).c_str());
       else if (!o.as_json)
@@ -314,7 +314,7 @@
       fits = p.fits;
       order = node_order(c, p, id, o.headroom, o.patience);
     }
-  } catch (OrderFault const& e) {
+  } catch (DrainOrderError const& e) {
     std::fprintf(stderr, "dockbend: %s\n", e.what());
     return e.code == 400 ? rc_usage : rc_failed;
   }
@@ -331,21 +331,22 @@
 int compare_with(Options const& o, std::string const& file) {
   std::ifstream in(file);
   std::string const text{std::istreambuf_iterator<char>(in), {}};
-  Forecast f;
+  EvacuationForecast f;
   try {
-    f = json::parse_as<Forecast>(text);
+    f = json::parse_as<EvacuationForecast>(text);
   } catch (json::Fault const& e) {
     std::fprintf(stderr, "dockbend: %s is no preview: %s\n", file.c_str(), e.what());
     return rc_usage;
   }
-  Capture c;
+  FleetSnapshot c;
   if (int const rc = survey(o, c)) return rc;
-  std::vector<Difference> d;
+  std::vector<ForecastDifference> d;
   double const off = compare(f, c, d);
   bool const good = off <= o.tolerance;
   if (o.as_json) {
     struct Out {
-      DB_RECORD(Out, (double, off), (double, tolerance), (bool, within), (std::vector<Difference>, differences));
+      DB_RECORD(Out, (double, off), (double, tolerance), (bool, within),
+                (std::vector<ForecastDifference>, differences));
     } out;
     out.off = off;
     out.tolerance = o.tolerance;
@@ -354,8 +355,8 @@
     std::printf("%s\n", json::render(out).c_str());
   } else {
     std::printf("%-16s %-16s %10s %10s %10s\n", "zone", "route", "predicted", "received", "difference");
-    for (Difference const& x : d)
-      std::printf("%-16s %-16s %10.1f %10.1f %+10.1f\n", x.zone.c_str(), x.lane.c_str(), x.predicted, x.received,
+    for (ForecastDifference const& x : d)
+      std::printf("%-16s %-16s %10.1f %10.1f %+10.1f\n", x.zone.c_str(), x.route.c_str(), x.predicted, x.received,
                   x.difference);
     for (std::string const& s : c.silent)
       std::printf("  not heard: %s\n", s.c_str());
@@ -400,7 +401,7 @@
         default: usage(stderr); return rc_usage;
       }
     }
-  } catch (BadSetting const& e) {
+  } catch (SettingsError const& e) {
     std::fprintf(stderr, "dockbend: %s\n", e.what());
     return rc_usage;
   }
@@ -512,7 +513,7 @@
       Settings const st = load_settings(settings_path());
       if (auto const it = st.bind.find("control"); it != st.bind.end()) op.at.push_back(it->second);
       op.at.insert(op.at.end(), st.seeds.begin(), st.seeds.end());
-    } catch (BadSetting const& e) {
+    } catch (SettingsError const& e) {
       std::fprintf(stderr, "dockbend: settings: %s (or give --at)\n", e.what());
       return rc_usage;
     }
--- a/programs/hollow_nodes.cpp
+++ b/programs/hollow_nodes.cpp
@@ -82,13 +82,13 @@
 }
 
 struct Town {
-  event_base* eb = nullptr;
-  Addr control, inner;
+  event_base* loop = nullptr;
+  Address control, inner;
   std::string zone = "desk", region = "desk";
   long sites = 10, servers = 10, pid = 0;
   double claims = 0, span = 10;
   struct Agent {
-    std::unique_ptr<Link> link;
+    std::unique_ptr<PeerLink> link;
     std::string front;
     bool fed = false;
   };
@@ -96,13 +96,13 @@
   std::vector<evhttp_connection*> conns;
   u64 letters_in = 0, bytes_in = 0, letters_out = 0, bytes_out = 0, beats_ok = 0, beats_failed = 0, granted = 0,
       refused = 0, seq = 0, up = 0;
-  Life life;
+  Incarnation incarnation;
   Epoch epoch;
   double due = 0;
   std::size_t turn = 0, beat_turn = 0;
 
   template <codec::Record T>
-  void send(Agent& a, Kind k, u32 tag, T const& x) {
+  void send(Agent& a, MessageType k, u32 tag, T const& x) {
     if (a.link->ch() == nullptr) return;
     std::string const b = codec::pack(x);
     ++letters_out;
@@ -114,49 +114,50 @@
     for (std::size_t i = 0; i < agents.size(); ++i) {
       Agent& a = agents[i];
       a.front = "127.9." + std::to_string(i / 200) + "." + std::to_string(i % 200 + 1) + ":8144";
-      a.link = std::make_unique<Link>(eb, inner, 1.0, 4.0);
-      a.link->on_up.connect([this, &a](Link&) {
-        Hello h;
+      a.link = std::make_unique<PeerLink>(loop, inner, 1.0, 4.0);
+      a.link->on_up.connect([this, &a](PeerLink&) {
+        HandshakeRequest h;
         h.role = 2;
         h.ip = a.front.substr(0, a.front.find(':'));
         h.zone = zone;
         h.region = region;
         h.front = a.front;
-        send(a, Kind::hello, 0, h);
-        send(a, Kind::feed, 0, Feed{true, Ballot()});
+        send(a, MessageType::handshake_request, 0, h);
+        send(a, MessageType::subscribe, 0, SubscribeRequest{true, Ballot()});
         ++up;
       });
-      a.link->on_down.connect([this](Link&) { --up; });
-      a.link->on_letter.connect([this](Link&, Letter const& l) { heard(l); });
+      a.link->on_down.connect([this](PeerLink&) { --up; });
+      a.link->on_message.connect([this](PeerLink&, Message const& l) { heard(l); });
     }
     for (int i = 0; i < 20 && i < servers; ++i) {
       conns.push_back(
-          evhttp_connection_base_new(eb, nullptr, control.ip.c_str(), static_cast<ev_uint16_t>(control.port)));
+          evhttp_connection_base_new(loop, nullptr, control.ip.c_str(), static_cast<ev_uint16_t>(control.port)));
       evhttp_connection_set_timeout(conns.back(), 2);
     }
   }
-  void heard(Letter const& l) {
+  void heard(Message const& l) {
     ++letters_in;
     bytes_in += 9 + l.body.size();
-    if (l.kind == Kind::helloR) life = l.as<HelloR>().life;
-    if (l.kind == Kind::commitR)
-      if (Commit const c = l.as<Commit>(); !c.state.empty()) epoch = codec::unpack<State>(c.state).epoch;
-    if (l.kind == Kind::claimR) ++(l.as<ClaimR>().say == Say::granted ? granted : refused);
+    if (l.kind == MessageType::handshake_response) incarnation = l.as<HandshakeResponse>().incarnation;
+    if (l.kind == MessageType::catch_up_response)
+      if (CommitNotice const c = l.as<CommitNotice>(); !c.state.empty())
+        epoch = codec::unpack<ReplicatedState>(c.state).epoch;
+    if (l.kind == MessageType::claim_response) ++(l.as<ClaimResponse>().say == ClaimVote::granted ? granted : refused);
   }
   // Every 20 ms: the part of all keepalives, beats and claims that is due.
-  void tick(Secs dt) {
-    Secs const now = now_s();
+  void tick(Seconds dt) {
+    Seconds const now = steady_now();
     for (std::size_t n = static_cast<std::size_t>(static_cast<double>(agents.size()) * dt / 0.6 + random01());
          n > 0 && !agents.empty(); --n) {
       Agent& a = agents[turn++ % agents.size()];
-      SiteBeat b;
+      ProxyHeartbeat b;
       b.front = a.front;
       b.zone = zone;
       b.region = region;
       b.ready = true;
       b.load = 0.3 + 0.2 * random01();
       b.primary = true;
-      send(a, Kind::beat, 0, b);
+      send(a, MessageType::proxy_heartbeat, 0, b);
     }
     for (Agent& a : agents)
       a.link->tick(now);
@@ -165,13 +166,13 @@
       beat(beat_turn++ % static_cast<std::size_t>(servers));
     due += claims * dt;
     for (; due >= 1 && !agents.empty(); due -= 1) {
-      Claim c;
+      ClaimRequest c;
       c.key = "facsimile/" + std::to_string(random64());
       c.holder = random64() | 1;
       c.epoch = epoch;
-      c.life = life;
+      c.incarnation = incarnation;
       c.work_ms = 1000;
-      send(agents[random64() % agents.size()], Kind::claim, 1, c);
+      send(agents[random64() % agents.size()], MessageType::claim_request, 1, c);
     }
   }
   void beat(std::size_t i) {
@@ -192,24 +193,24 @@
 };
 
 int nodes(Town& t) {
-  t.eb = event_base_new();
+  t.loop = event_base_new();
   t.begin();
-  Secs const start = now_s(), warm = t.span * 0.2;
+  Seconds const start = steady_now(), warm = t.span * 0.2;
   Used before;
   bool counted = false;
-  Ticker const tick(t.eb, 0.02, [&] {
-    Secs const now = now_s() - start;
+  PeriodicTimer const tick(t.loop, 0.02, [&] {
+    Seconds const now = steady_now() - start;
     if (!counted && now > warm) {
       counted = true;
       before = used_by(t.pid);
       t.letters_in = t.bytes_in = t.letters_out = t.bytes_out = t.beats_ok = t.beats_failed = t.granted = t.refused = 0;
     }
     if (now > t.span)
-      event_base_loopbreak(t.eb);
+      event_base_loopbreak(t.loop);
     else
       t.tick(0.02);
   });
-  event_base_dispatch(t.eb);
+  event_base_dispatch(t.loop);
   Used const after = used_by(t.pid);
   double const s = t.span - warm;
   std::printf(
@@ -253,9 +254,9 @@
   Proposer prop;
   double sent = 0, peak = 0;
   struct File {
-    Store& s;
+    DiskStore& s;
     void write_vote(VoteWrite w, std::function<void(bool)> done) {
-      Store::Write x;
+      DiskStore::Write x;
       x.vote = std::move(w);
       s.commit({&x});
       done(x.ok);
@@ -263,12 +264,14 @@
   } file;
   VoteWriter<File> writer;
 
-  explicit Founders(Store& s)
-      : prop("10.0.0.1", [this](Ballot have,
-                                Ballot b) { return accs[0]->state()->bal == b ? accs[0]->since(have) : std::nullopt; }),
+  explicit Founders(DiskStore& s)
+      : prop("10.0.0.1",
+             [this](Ballot have, Ballot b) {
+               return accs[0]->state()->ballot == b ? accs[0]->since(have) : std::nullopt;
+             }),
         file{s},
         writer(file, 0) {}
-  void write(Acceptor::Step const& s) {
+  void write(Acceptor::PendingWrite const& s) {
     if (s.write)
       writer.write(accs[0]->head(), s.rows, [](bool ok) {
         if (!ok) throw std::runtime_error("the disk took no vote");
@@ -282,15 +285,15 @@
       auto const count = [&](std::size_t n) { sent += i == 0 ? 0 : 9.0 + static_cast<double>(n); };
       std::vector<Proposer::Out> more;
       if (o.is_prep) {
-        PrepR r;
-        Acceptor::Step const s = accs[i]->prepare(o.prep, r);
+        PrepareResponse r;
+        Acceptor::PendingWrite const s = accs[i]->prepare(o.prep, r);
         if (i == 0) write(s);
         count(codec::pack(o.prep).size());
         count(codec::pack(r).size());
         more = prop.on_prep(o.ip, r);
       } else {
-        AccR r;
-        Acceptor::Step const s = accs[i]->accept(o.acc, r);
+        AcceptResponse r;
+        Acceptor::PendingWrite const s = accs[i]->accept(o.acc, r);
         if (i == 0) write(s);
         count(codec::pack(o.acc).size());
         count(codec::pack(r).size());
@@ -304,15 +307,15 @@
   void round(Proposer::Change c) {
     prop.saw(accs[0]->promised());
     deliver(prop.begin(*accs[0]->state(), std::move(c), 0, std::nullopt));
-    Commit m;
-    m.bal = prop.value().bal;
+    CommitNotice m;
+    m.ballot = prop.value().ballot;
     m.delta = prop.delta();
     sent += 2 * (9.0 + static_cast<double>(codec::pack(m).size()));
   }
-  ChangeCost cost(std::function<void(State&, int)> const& change) {
+  ChangeCost cost(std::function<void(ReplicatedState&, int)> const& change) {
     double const s0 = sent, w0 = written();
     for (int i = 0; i < rounds; ++i)
-      round([&](State& s) {
+      round([&](ReplicatedState& s) {
         change(s, i);
         return true;
       });
@@ -320,52 +323,52 @@
   }
 };
 
-std::pair<ChangeCost, ChangeCost> change_costs(std::vector<Item> items) {
+std::pair<ChangeCost, ChangeCost> change_costs(std::vector<ConfigItem> items) {
   char dir[] = "/tmp/dockbend-hollow-XXXXXX";
   if (::mkdtemp(dir) == nullptr) throw std::runtime_error("no room in /tmp");
   std::pair<ChangeCost, ChangeCost> out;
   {
-    Store store(dir);
+    DiskStore store(dir);
     store.load();
     Founders f(store);
-    State s;
-    std::sort(items.begin(), items.end(), [](Item const& a, Item const& b) { return a.key < b.key; });
+    ReplicatedState s;
+    std::sort(items.begin(), items.end(), [](ConfigItem const& a, ConfigItem const& b) { return a.key < b.key; });
     s.items = std::move(items);
     for (int i = 0; i < Founders::members; ++i) {
       Member m;
       m.ip = "10.0.0." + std::to_string(i + 1);
-      m.life = Life(1);
-      s.roster.push_back(m);
+      m.incarnation = Incarnation(1);
+      s.membership.push_back(m);
     }
-    s.duties.push_back(Term{"usage", "core-1", "10.0.0.1", 1, 1, ""});
-    s.bal = Ballot(1);
+    s.duties.push_back(Lease{"usage", "core-1", "10.0.0.1", 1, 1, ""});
+    s.ballot = Ballot(1);
     double const none = heap();
     for (int i = 0; i < Founders::members; ++i)
-      f.accs.push_back(std::make_unique<Acceptor>(Life(1), Ballot(1), s));
+      f.accs.push_back(std::make_unique<Acceptor>(Incarnation(1), Ballot(1), s));
     double const value = (heap() - none) / Founders::members;
     f.writer.write(f.accs[0]->head(), rows_of(s), [](bool) {});
-    s = State();
+    s = ReplicatedState();
     double const base = heap() - value;  // less our own vote
-    f.round([](State&) { return true; });
-    out.first = f.cost([](State& x, int i) {
-      Item& it = x.items[static_cast<std::size_t>(i) * 7919 % x.items.size()];
-      it.gen = Gen(it.gen.v + 1);
+    f.round([](ReplicatedState&) { return true; });
+    out.first = f.cost([](ReplicatedState& x, int i) {
+      ConfigItem& it = x.items[static_cast<std::size_t>(i) * 7919 % x.items.size()];
+      it.gen = Generation(it.gen.v + 1);
     });
     out.first.value = value;
     out.first.round = f.peak - base;
-    out.second = f.cost([](State& x, int) { ++x.duties[0].counter; });
+    out.second = f.cost([](ReplicatedState& x, int) { ++x.duties[0].counter; });
   }
   std::filesystem::remove_all(dir);
   return out;
 }
 
 // What a node keeps for lanes, tenants and servers, and what an errand's choice costs.
-int library(long lanes, long tenants, long servers) {
+int library(long routes, long tenants, long servers) {
   auto item = [](std::string const& body) { return read_amend(body).items; };
-  std::vector<Item> items = item(
+  std::vector<ConfigItem> items = item(
       R"({"upsert":{"pools":[{"name":"p","healthPath":"/h","connLimit":100,"protocol":"h1","tlsMode":false,"selfDedupes":false,"coldS":3,"coldRateS":9,"generation":"00000001"}]}})");
-  auto add = [&](std::vector<Item> const& v) { items.insert(items.end(), v.begin(), v.end()); };
-  for (long i = 0; i < lanes; ++i) {
+  auto add = [&](std::vector<ConfigItem> const& v) { items.insert(items.end(), v.begin(), v.end()); };
+  for (long i = 0; i < routes; ++i) {
     std::string const n = std::to_string(i);
     add(item("{\"upsert\":{\"sockets\":[{\"host\":\"h" + std::to_string(i / 50) +
              ".example\",\"policy\":[{\"name\":\"r-" + n +
@@ -379,16 +382,16 @@
              "\"],\"rank\":1,\"generation\":\"00000001\"}]}}"));
   }
   double const h0 = heap();
-  State s;
+  ReplicatedState s;
   s.items = items;
   std::string const packed = codec::pack(s);
-  std::size_t const deflated = parcel(Kind::news, packed).body().size();
+  std::size_t const deflated = encode_message(MessageType::state_update, packed).body().size();
   double const h1 = heap();
-  auto man = std::make_unique<Compiled>(Compiled::from(items));
+  auto man = std::make_unique<CompiledConfiguration>(CompiledConfiguration::from(items));
   double const h2 = heap();
-  std::vector<Assign::Seen> rows;
+  std::vector<LoadBalancer::Seen> rows;
   for (long i = 0; i < servers; ++i) {
-    Assign::Seen x;
+    LoadBalancer::Seen x;
     x.id = "i-" + std::to_string(1000000 + i);
     x.service = "p";
     x.address = "10.128.0.9:8080";
@@ -399,11 +402,11 @@
   }
   Settings const st = parse_settings("ip=10.0.0.1\nzone=desk\ninnerPorts=7000,7010\nzones.desk=desk\n");
   double const h3 = heap();
-  auto as = std::make_unique<Assign>(st);
+  auto as = std::make_unique<LoadBalancer>(st);
   as->table(rows, 0);
   as->sites({{"desk", 20}});
   double const h4 = heap();
-  Wish w;
+  EndpointQuery w;
   w.pool = as->pool("p");
   int const rounds = 2000;
   auto cpu = [] {
@@ -425,7 +428,7 @@
       "\"compiledHeapBytes\":%.0f,\"tableHeapBytes\":%.0f,\"chooseUs\":%.2f,\"findUs\":%.3f,\"hits\":%zu,"
       "\"changeSentBytes\":%.0f,\"changeDiskBytes\":%.0f,\"renewalSentBytes\":%.0f,\"renewalDiskBytes\":%.0f,"
       "\"valueHeapBytes\":%.0f,\"roundHeapBytes\":%.0f}\n",
-      lanes, tenants, servers, packed.size(), deflated, h1 - h0 - static_cast<double>(packed.size()), h2 - h1, h4 - h3,
+      routes, tenants, servers, packed.size(), deflated, h1 - h0 - static_cast<double>(packed.size()), h2 - h1, h4 - h3,
       (c1 - c0) / rounds * 1e6, (c2 - c1) / rounds / 10 * 1e6, hit, changed.sent, changed.disk, renewed.sent,
       renewed.disk, changed.value, changed.round);
   return rc_ok;
@@ -442,7 +445,7 @@
       {"tenants", required_argument, nullptr, 't'}, {"help", no_argument, nullptr, 'h'},
       {"version", no_argument, nullptr, 'v'},       {nullptr, 0, nullptr, 0}};
   Town t;
-  long lanes = 100, tenants = 100, servers = 100;
+  long routes = 100, tenants = 100, servers = 100;
   bool control = false, inner = false;
   try {
     for (int o = 0; (o = getopt_long(argc, argv, "hv", opts, nullptr)) != -1;) {
@@ -462,14 +465,14 @@
         case 'p': t.pid = static_cast<long>(number(optarg, "--pid", 1, 1e9)); break;
         case 'z': t.zone = optarg; break;
         case 'r': t.region = optarg; break;
-        case 'l': lanes = static_cast<long>(number(optarg, "--lanes", 1, most_items)); break;
+        case 'l': routes = static_cast<long>(number(optarg, "--lanes", 1, most_items)); break;
         case 't': tenants = static_cast<long>(number(optarg, "--tenants", 0, most_items)); break;
         case 'h': usage(stdout); return rc_ok;
         case 'v': std::printf("dockbend-hollow-nodes (dockbend) 0.2.0\n"); return rc_ok;
         default: usage(stderr); return rc_usage;
       }
     }
-    if (lanes + tenants + servers > most_items)
+    if (routes + tenants + servers > most_items)
       throw Bad("--lanes, --tenants, --servers: more than " + std::to_string(most_items) + " together");
   } catch (std::exception const& e) {
     std::fprintf(stderr, "dockbend-hollow-nodes: %s\n", e.what());
@@ -477,7 +480,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   std::string const what = optind + 1 == argc ? argv[optind] : "";
-  if (what == "library") return library(lanes, tenants, servers);
+  if (what == "library") return library(routes, tenants, servers);
   if (what == "nodes" && control && inner) return nodes(t);
   usage(stderr);
   return rc_usage;
--- a/programs/loadgen.cpp
+++ b/programs/loadgen.cpp
@@ -64,18 +64,18 @@
 struct Call {
   Run* run = nullptr;
   std::size_t kind = 0;
-  Secs due = 0, sent = 0;
+  Seconds due = 0, sent = 0;
   std::size_t gate = 0;
-  int tries = 0;
+  int attempts = 0;
   std::string op;  // its operation key, the same for all tries
   evhttp_connection* ec = nullptr;
 };
 
 struct Gate {
-  Addr to;
+  Address to;
   std::deque<evhttp_connection*> idle;
-  Secs down_until = 0;
-  Secs named = 1e18;  // by a directory, for so long
+  Seconds down_until = 0;
+  Seconds named = 1e18;  // by a directory, for so long
 };
 
 struct Budget {
@@ -84,27 +84,27 @@
 };
 
 struct Run {
-  event_base* eb = nullptr;
+  event_base* loop = nullptr;
   std::vector<Gate> gates;
   std::size_t turn = 0;
   std::map<std::string, Budget> budgets;  // by token
   std::string host;
-  Secs time_left = 2, start = 0, span = 10;
+  Seconds time_left = 2, start = 0, span = 10;
   u64 seed = 1, ids = 0;
   std::vector<std::unique_ptr<Kind_>> kinds;
   std::size_t open = 0, at_work = 0, arriving = 0;
-  std::vector<Addr> directories;
+  std::vector<Address> directories;
   std::vector<std::pair<std::string, std::string>> from;  // zone, region
   std::size_t asked = 0;
   int retries = 0;
-  std::unique_ptr<Ticker> resolver;
+  std::unique_ptr<PeriodicTimer> resolver;
 
   // Every second a directory, by turns, for each place that clients are at.
   void resolve() {
     for (auto const& [zone, region] : from) {
-      Addr const& d = directories[asked++ % directories.size()];
+      Address const& d = directories[asked++ % directories.size()];
       evhttp_connection* const ec =
-          evhttp_connection_base_new(eb, nullptr, d.ip.c_str(), static_cast<ev_uint16_t>(d.port));
+          evhttp_connection_base_new(loop, nullptr, d.ip.c_str(), static_cast<ev_uint16_t>(d.port));
       evhttp_connection_set_timeout(ec, 1);
       evhttp_connection_free_on_completion(ec);
       evhttp_request* const r =
@@ -120,29 +120,29 @@
     std::string body(evbuffer_get_length(b), '\0');
     evbuffer_copyout(b, body.data(), body.size());
     try {
-      for (std::string const& a : json::parse_as<schema::ResolveRet>(body).addresses) {
-        Addr const to = parse_addr(a, "addresses");
+      for (std::string const& a : json::parse_as<schema::ResolveResponse>(body).addresses) {
+        Address const to = parse_addr(a, "addresses");
         auto it = std::find_if(gates.begin(), gates.end(), [&](Gate const& g) { return g.to == to; });
         if (it == gates.end()) it = gates.insert(gates.end(), Gate{to, {}, 0, 0});
-        it->named = now_s() + 3.5;
+        it->named = steady_now() + 3.5;
       }
     } catch (std::exception const&) {  // an answer that can't be read names nobody
     }
   }
 
   void arm(std::size_t i) {
-    Secs const at = kinds[i]->a.next();
+    Seconds const at = kinds[i]->a.next();
     if (at > span) {
-      if (--arriving == 0 && at_work == 0) event_base_loopbreak(eb);
+      if (--arriving == 0 && at_work == 0) event_base_loopbreak(loop);
       return;
     }
-    after(eb, start + at - now_s(), [this, i, at] {
+    after(loop, start + at - steady_now(), [this, i, at] {
       send(i, start + at);
       arm(i);
     });
   }
 
-  void send(std::size_t i, Secs due) {
+  void send(std::size_t i, Seconds due) {
     auto* const c = new Call;
     c->run = this;
     c->kind = i;
@@ -153,7 +153,7 @@
 
   void attempt(Call* c) {
     LoadKind const& k = kinds[c->kind]->k;
-    c->sent = now_s();
+    c->sent = steady_now();
     if (gates.empty()) return finish(c, 0, false);
     // The next gateway in turn that is named and did not fail a moment ago.
     for (std::size_t n = 0; n < gates.size(); ++n) {
@@ -161,9 +161,9 @@
       if (gates[c->gate].down_until <= c->sent && gates[c->gate].named > c->sent) break;
     }
     auto& idle = gates[c->gate].idle;
-    Addr const& to = gates[c->gate].to;
+    Address const& to = gates[c->gate].to;
     if (idle.empty()) {
-      c->ec = evhttp_connection_base_new(eb, nullptr, to.ip.c_str(), static_cast<ev_uint16_t>(to.port));
+      c->ec = evhttp_connection_base_new(loop, nullptr, to.ip.c_str(), static_cast<ev_uint16_t>(to.port));
       evhttp_connection_set_timeout(c->ec, static_cast<int>(time_left) + 2);
       ++open;
     } else {
@@ -203,15 +203,15 @@
   }
 
   void finish(Call* c, int code, bool keep) {
-    Secs const now = now_s();
-    if ((code == 503 || code == 429 || code == 421) && c->tries < retries && now - c->due < time_left) {
-      ++c->tries;
+    Seconds const now = steady_now();
+    if ((code == 503 || code == 429 || code == 421) && c->attempts < retries && now - c->due < time_left) {
+      ++c->attempts;
       evhttp_connection* const ec = c->ec;
       if (keep)
         gates[c->gate].idle.push_back(ec);
       else
-        after(eb, 0, [ec] { evhttp_connection_free(ec); });
-      return after(eb, 0.05, [this, c] { attempt(c); });
+        after(loop, 0, [ec] { evhttp_connection_free(ec); });
+      return after(loop, 0.05, [this, c] { attempt(c); });
     }
     kinds[c->kind]->t.add(c->due, c->sent, now, code);
     if (code == 0 && c->gate < gates.size()) gates[c->gate].down_until = now + 1;
@@ -221,10 +221,10 @@
       gates[c->gate].idle.push_back(c->ec);
     } else if (c->ec != nullptr) {
       evhttp_connection* const ec = c->ec;
-      after(eb, 0, [ec] { evhttp_connection_free(ec); });
+      after(loop, 0, [ec] { evhttp_connection_free(ec); });
     }
     delete c;
-    if (--at_work == 0 && arriving == 0) event_base_loopbreak(eb);
+    if (--at_work == 0 && arriving == 0) event_base_loopbreak(loop);
   }
 
   bool print(bool as_json) const {
@@ -300,10 +300,10 @@
 
 // The stand-in server. Invariant: at work <= capacity, waiting <= capacity.
 struct Server {
-  event_base* eb = nullptr;
+  event_base* loop = nullptr;
   std::string id = "stand-in", service, zone;
-  Addr at;
-  Secs work = 0.02, upload = 0;  // upload: 0: as others
+  Address at;
+  Seconds work = 0.02, upload = 0;  // upload: 0: as others
   u32 capacity = 4, busy = 0;
   u64 seq = 0, run = 0, twice = 0;
   std::set<std::string> keys;  // of keyed errands run
@@ -349,7 +349,7 @@
     if (char const* k = evhttp_find_header(evhttp_request_get_input_headers(r), "X-Operation-Key"); k != nullptr)
       twice += keys.insert(k).second ? 0 : 1;
     bool const large = evbuffer_get_length(evhttp_request_get_input_buffer(r)) > 100000;
-    after(eb, large && upload > 0 ? upload : work, [this, r] {
+    after(loop, large && upload > 0 ? upload : work, [this, r] {
       --busy;
       head(r, "X-Server-Seal", id + "." + std::to_string(++run));
       evbuffer* b = evbuffer_new();
@@ -364,7 +364,7 @@
     });
   }
 
-  void beat(Addr const& to) {
+  void beat(Address const& to) {
     schema::Heartbeat h{};
     h.service = service;
     h.address = at.str();
@@ -375,7 +375,7 @@
     h.coldLeftS = 0;
     h.callSeq = ++seq;
     std::string const body = json::render(h);
-    evhttp_connection* c = evhttp_connection_base_new(eb, nullptr, to.ip.c_str(), static_cast<ev_uint16_t>(to.port));
+    evhttp_connection* c = evhttp_connection_base_new(loop, nullptr, to.ip.c_str(), static_cast<ev_uint16_t>(to.port));
     evhttp_connection_set_timeout(c, 1);
     evhttp_request* r = evhttp_request_new(
         [](evhttp_request*, void* p) {
@@ -385,7 +385,7 @@
             delete ec;
           });
         },
-        new std::pair<event_base*, evhttp_connection*>(eb, c));
+        new std::pair<event_base*, evhttp_connection*>(loop, c));
     evkeyvalq* o = evhttp_request_get_output_headers(r);
     evhttp_add_header(o, "Host", to.str().c_str());
     evhttp_add_header(o, "Content-Type", "application/json");
@@ -429,7 +429,7 @@
                                 {nullptr, 0, nullptr, 0}};
   Run run;
   Server sv;
-  std::optional<Addr> at, beat;
+  std::optional<Address> at, beat;
   std::vector<LoadKind> kinds;
   bool as_json = false;
   try {
@@ -480,24 +480,24 @@
     return rc_usage;
   }
   signal(SIGPIPE, SIG_IGN);
-  event_base* const eb = event_base_new();
+  event_base* const loop = event_base_new();
   bool const serve = optind + 1 == argc && std::strcmp(argv[optind], "serve") == 0;
   if (serve && at && (!beat || (!sv.service.empty() && !sv.zone.empty()))) {
-    sv.eb = eb;
+    sv.loop = loop;
     sv.at = *at;
-    evhttp* h = evhttp_new(eb);
+    evhttp* h = evhttp_new(loop);
     evhttp_set_gencb(
         h, [](evhttp_request* r, void* p) { static_cast<Server*>(p)->arrive(r); }, &sv);
     if (evhttp_bind_socket(h, at->ip.c_str(), static_cast<ev_uint16_t>(at->port)) != 0) {
       std::fprintf(stderr, "dockbend-loadgen: can't listen at %s\n", at->str().c_str());
       return rc_failed;
     }
-    std::unique_ptr<Ticker> tick;
+    std::unique_ptr<PeriodicTimer> tick;
     if (beat) {
       sv.beat(*beat);
-      tick = std::make_unique<Ticker>(eb, 1.0, [&] { sv.beat(*beat); });
+      tick = std::make_unique<PeriodicTimer>(loop, 1.0, [&] { sv.beat(*beat); });
     }
-    event_base_dispatch(eb);
+    event_base_dispatch(loop);
     return rc_ok;
   }
   bool const nowhere = run.directories.empty() ? run.gates.empty() : run.from.empty();
@@ -505,17 +505,17 @@
     usage(stderr);
     return rc_usage;
   }
-  run.eb = eb;
+  run.loop = loop;
   for (std::size_t i = 0; i < kinds.size(); ++i)
     run.kinds.push_back(std::make_unique<Kind_>(Kind_{kinds[i], Arrivals(kinds[i].rate, run.seed * 1000 + i), {}}));
   run.arriving = kinds.size();
   if (!run.directories.empty()) {
     run.resolve();
-    run.resolver = std::make_unique<Ticker>(eb, 1.0, [&run] { run.resolve(); });
+    run.resolver = std::make_unique<PeriodicTimer>(loop, 1.0, [&run] { run.resolve(); });
   }
-  run.start = now_s() + (run.directories.empty() ? 0 : 0.5);  // the first answers of directories
+  run.start = steady_now() + (run.directories.empty() ? 0 : 0.5);  // the first answers of directories
   for (std::size_t i = 0; i < kinds.size(); ++i)
     run.arm(i);
-  event_base_dispatch(eb);
+  event_base_dispatch(loop);
   return run.print(as_json) ? rc_ok : rc_failed;
 }
--- a/programs/model_check.cpp
+++ b/programs/model_check.cpp
@@ -13,7 +13,7 @@
 #include "model_checking/model_catalog.hpp"
 
 using namespace dockbend;
-using namespace dockbend::collation;
+using namespace dockbend::model_checking;
 
 namespace {
 int const rc_ok = 0, rc_breach = 1, rc_usage = 2;
@@ -63,7 +63,7 @@
       w.Key("model");
       w.String(c.model.c_str());
       w.Key("fault");
-      w.String(c.fault.c_str());
+      w.String(c.error_response.c_str());
       w.Key("what");
       w.String(c.what.c_str());
       w.Key("plan");
@@ -75,17 +75,18 @@
     return rc_ok;
   }
   for (Case const& c : cases()) {
-    std::printf("%-10s %-26s %s\n", c.model.c_str(), c.fault.c_str(), c.what.c_str());
-    if (c.fault == no_fault) std::printf("%-37s %s\n", "", write_plan(c.plan).c_str());
+    std::printf("%-10s %-26s %s\n", c.model.c_str(), c.error_response.c_str(), c.what.c_str());
+    if (c.error_response == kNoFault) std::printf("%-37s %s\n", "", write_plan(c.plan).c_str());
   }
   return rc_ok;
 }
 
-void report(Case const& c, Plan const& plan, Outcome const& o, bool walked, std::string const& out, bool as_json) {
-  Played const p = o.breach.empty() ? Played{} : c.play(plan, o.trace);
+void report(Case const& c, Bounds const& plan, SearchResult const& o, bool walked, std::string const& out,
+            bool as_json) {
+  Replay const p = o.breach.empty() ? Replay{} : c.play(plan, o.trace);
   if (!out.empty() && !o.breach.empty()) {
     std::ofstream f(out);
-    f << write_trace(Recorded{&c, plan, o.seed, o.breach, o.trace});
+    f << write_trace(RecordedTrace{&c, plan, o.seed, o.breach, o.trace});
     if (!f.flush()) std::fprintf(stderr, "dockbend-model-check: can't write %s\n", out.c_str());
   }
   if (as_json) {
@@ -95,7 +96,7 @@
     w.Key("model");
     w.String(c.model.c_str());
     w.Key("fault");
-    w.String(c.fault.c_str());
+    w.String(c.error_response.c_str());
     w.Key("plan");
     w.String(write_plan(plan).c_str());
     for (auto const& [k, x] : {std::pair{"states", o.states},
@@ -121,7 +122,7 @@
     std::printf("%s\n", sb.GetString());
     return;
   }
-  std::printf("%s, fault %s: %llu states, %llu steps, ", c.model.c_str(), c.fault.c_str(),
+  std::printf("%s, fault %s: %llu states, %llu steps, ", c.model.c_str(), c.error_response.c_str(),
               static_cast<unsigned long long>(o.states), static_cast<unsigned long long>(o.steps));
   if (walked)
     std::printf("%llu walks, longest %u\n", static_cast<unsigned long long>(o.walks), o.depth);
@@ -146,9 +147,9 @@
   if (!f) throw Bad("can't read " + file);
   std::stringstream s;
   s << f.rdbuf();
-  Recorded const r = read_trace(s.str());
-  Played const p = r.of->play(r.plan, r.trace);
-  Outcome o;
+  RecordedTrace const r = read_trace(s.str());
+  Replay const p = r.of->play(r.plan, r.trace);
+  SearchResult o;
   o.breach = p.breach;
   o.settled = p.settled;
   o.trace = r.trace;
@@ -166,14 +167,14 @@
                                 {"length", required_argument, nullptr, 'l'}, {"out", required_argument, nullptr, 'o'},
                                 {"json", no_argument, nullptr, 'j'},         {"help", no_argument, nullptr, 'h'},
                                 {"version", no_argument, nullptr, 'v'},      {nullptr, 0, nullptr, 0}};
-  std::string fault = no_fault, bounds, out;
-  Search how{200000, 100};
-  Walks walks{1, 1000, 200};
+  std::string error_response = kNoFault, bounds, out;
+  SearchLimits how{200000, 100};
+  WalkLimits walks{1, 1000, 200};
   bool as_json = false;
   try {
     for (int o = 0; (o = getopt_long(argc, argv, "hv", opts, nullptr)) != -1;) {
       switch (o) {
-        case 'f': fault = optarg; break;
+        case 'f': error_response = optarg; break;
         case 'p': bounds = optarg; break;
         case 's': how.most_states = number(optarg, "--states", 1, most_states); break;
         case 'd': how.depth = static_cast<u32>(number(optarg, "--depth", 1, most_length)); break;
@@ -191,11 +192,11 @@
     if (what == "list" && optind + 1 == argc) return list(as_json);
     if (what == "replay" && optind + 2 == argc) return replay(arg, as_json);
     if ((what == "search" || what == "walk") && optind + 2 == argc) {
-      if (find(arg, no_fault) == nullptr) throw Bad("no such model: " + arg);
-      Case const* c = find(arg, fault);
-      if (c == nullptr) throw Bad("no such fault of " + arg + ": " + fault);
-      Plan const plan = read_plan(bounds, c->plan);
-      Outcome const o = what == "search" ? c->search(plan, how) : c->walk(plan, walks);
+      if (find(arg, kNoFault) == nullptr) throw Bad("no such model: " + arg);
+      Case const* c = find(arg, error_response);
+      if (c == nullptr) throw Bad("no such fault of " + arg + ": " + error_response);
+      Bounds const plan = read_plan(bounds, c->plan);
+      SearchResult const o = what == "search" ? c->search(plan, how) : c->walk(plan, walks);
       report(*c, plan, o, what == "walk", out, as_json);
       return o.breach.empty() ? rc_ok : rc_breach;
     }
--- a/programs/proxy.cpp
+++ b/programs/proxy.cpp
@@ -34,45 +34,45 @@
 #include "usage/usage_totals.hpp"
 
 using namespace dockbend;
-using schema::LaneKind;
+using schema::RouteKind;
 
 namespace {
 
-struct Errand;
-using Requests = RequestTable<Errand>;
+struct ProxiedRequest;
+using Requests = RequestTable<ProxiedRequest>;
 using Handle = Requests::Handle;
 
 // The sockets and timers of one request; its course is the core's. Invariants: req is
 // answered exactly once, then the slot is dropped; chan is set exactly while the core is
 // in an attempt.
-struct Errand : Admitted {
+struct ProxiedRequest : AdmittedRequest {
   Handle h;
   evhttp_request* req = nullptr;
   evhttp_cmd_type cmd = EVHTTP_REQ_GET;
   std::string uri;
-  std::vector<PlaceIx> regions;  // its homes
-  std::vector<ServerIx> tried;
-  PoolIx pool;
-  Secs start = 0;
-  Request core;
-  Chan* chan = nullptr;
-  ServerIx server;
+  std::vector<LocationIndex> regions;  // its homes
+  std::vector<ServerIndex> attempted;
+  ServiceIndex pool;
+  Seconds start = 0;
+  RequestMachine core;
+  UpstreamConnection* chan = nullptr;
+  ServerIndex server;
   u64 holder = 0;
   u32 tag = 0;  // of the ask for its claim
   bool parked = false;
-  Borrower::Token token;
+  QuotaClient::Token token;
   u32 counted = 0;  // tries that the tally has
   event* timer = nullptr;
   std::size_t body = 0;
-  Course const& course() const { return core.course(); }
-  Secs deadline() const { return course().deadline(); }
-  ~Errand() {
+  RetryState const& course() const { return core.course(); }
+  Seconds deadline() const { return course().deadline(); }
+  ~ProxiedRequest() {
     if (timer != nullptr) event_free(timer);
   }
 };
 
-Heads heads_of(evkeyvalq* q) {
-  Heads h;
+Headers heads_of(evkeyvalq* q) {
+  Headers h;
   for (evkeyval* kv = q->tqh_first; kv != nullptr; kv = kv->next.tqe_next)
     h.emplace_back(kv->key, kv->value);
   return h;
@@ -80,43 +80,43 @@
 
 class Proxy {
  public:
-  Proxy(event_base* eb, Settings const& st)
-      : eb_(eb),
+  Proxy(event_base* loop, Settings const& st)
+      : loop_(loop),
         st_(st),
         as_(st_),
-        shelf_(eb, as_),
-        page_(eb, Addr{"127.0.0.1", st.agent()}, 0.4, 2.0),
-        life_(random64() | 1),
-        leaver_(life_),
-        counter_(life_),
-        borrower_(life_, "") {
+        shelf_(loop, as_),
+        page_(loop, Address{"127.0.0.1", st.agent()}, 0.4, 2.0),
+        incarnation_(random64() | 1),
+        leaver_(incarnation_),
+        counter_(incarnation_),
+        borrower_(incarnation_, "") {
     self_ = this;
-    shelf_.on_return.connect([this](Chan& c, evhttp_request* r) { returned(c, r); });
-    front_ = evhttp_new(eb_);
+    shelf_.on_return.connect([this](UpstreamConnection& c, evhttp_request* r) { returned(c, r); });
+    front_ = evhttp_new(loop_);
     evhttp_set_allowed_methods(front_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD | EVHTTP_REQ_PUT |
                                            EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS | EVHTTP_REQ_PATCH);
     evhttp_set_gencb(
         front_, [](evhttp_request* r, void* p) { static_cast<Proxy*>(p)->arrive(r); }, this);
     readings_.watch(front_);
     set_limits();
-    Addr const f = at("front");
+    Address const f = at("front");
     sock_ = evhttp_bind_socket_with_handle(front_, f.ip.c_str(), static_cast<ev_uint16_t>(f.port));
     if (sock_ == nullptr) throw std::runtime_error("can't listen at " + f.str());
-    ready_ = evhttp_new(eb_);
+    ready_ = evhttp_new(loop_);
     evhttp_set_gencb(
         ready_, [](evhttp_request* r, void* p) { static_cast<Proxy*>(p)->readiness(r); }, this);
-    Addr const rd = at("ready");
+    Address const rd = at("ready");
     if (evhttp_bind_socket_with_handle(ready_, rd.ip.c_str(), static_cast<ev_uint16_t>(rd.port)) == nullptr)
       throw std::runtime_error("can't listen at " + rd.str());
-    page_.on_letter.connect([this](Link&, Letter const& l) { letter(l); });
-    page_.on_down.connect([this](Link&) { page_down(); });
-    page_.on_up.connect([this](Link&) {
+    page_.on_message.connect([this](PeerLink&, Message const& l) { handle_message(l); });
+    page_.on_down.connect([this](PeerLink&) { page_down(); });
+    page_.on_up.connect([this](PeerLink&) {
       tell_load();
       tally_all_ = true;
     });
     borrower_.front(at("front").str());
-    tick_ = std::make_unique<Ticker>(eb_, 0.1, [this] { tick(); });
-    load_tick_ = std::make_unique<Ticker>(eb_, 0.5, [this] { tell_load(); });
+    tick_ = std::make_unique<PeriodicTimer>(loop_, 0.1, [this] { tick(); });
+    load_tick_ = std::make_unique<PeriodicTimer>(loop_, 0.5, [this] { tell_load(); });
   }
   ~Proxy() {
     evhttp_free(front_);
@@ -126,85 +126,85 @@
   void term() {
     if (draining_) return;
     draining_ = true;
-    drain_at_ = now_s();
+    drain_at_ = steady_now();
     tell_load();
-    LOG4CPLUS_INFO(lg_, "Draining. " << requests_.size() << " errands at work.");
+    LOG4CPLUS_INFO(logger_, "Draining. " << requests_.size() << " errands at work.");
   }
 
   void settings(Settings const& s) { st_.bounds = s.bounds; }
 
   // Called by libevent.
   static void timer_cb(evutil_socket_t, short, void* p) {
-    Errand* const e = static_cast<Errand*>(p);
+    ProxiedRequest* const e = static_cast<ProxiedRequest*>(p);
     static_cast<Proxy*>(self_)->timer(e);
   }
   static Proxy* self_;
 
  private:
-  Addr at(char const* what) const {
+  Address at(char const* what) const {
     auto const it = st_.bind.find(what);
-    if (it == st_.bind.end()) throw BadSetting(std::string("bind.") + what, "missing");
+    if (it == st_.bind.end()) throw SettingsError(std::string("bind.") + what, "missing");
     return it->second;
   }
 
   void set_limits() {
-    LimitsDef const& l = man_.limits();
+    LimitsConfig const& l = man_.limits();
     evhttp_set_max_headers_size(front_, static_cast<ev_ssize_t>(l.header_bytes * 2 + 131072));
     evhttp_set_max_body_size(front_, static_cast<ev_ssize_t>(l.body_bytes));
     evhttp_set_timeout(front_, std::max(1, static_cast<int>(l.idle + 0.999)));
   }
 
   // ---- the link to the agent -------------------------------------------------
-  void letter(Letter const& l) {
+  void handle_message(Message const& l) {
     switch (l.kind) {
-      case Kind::news: news(l.as<News>()); break;
-      case Kind::askR: asked(l.tag, l.as<AskR>()); break;
-      case Kind::hold: hold(l.as<Hold>()); break;
-      case Kind::clock: clock_.mate("page", now_s(), l.as<ClockSaid>().wall); break;
-      case Kind::loanR: loaned(l.as<LoanRet>()); break;
-      case Kind::survey: surveyed(l.tag, l.as<SurveyAsk>()); break;
-      case Kind::drain: told_to_drain(l.as<DrainSaid>()); break;
-      default: ++bad_input().letters; break;
+      case MessageType::state_update: news(l.as<StateUpdate>()); break;
+      case MessageType::acquire_key_response: asked(l.tag, l.as<AcquireKeyResponse>()); break;
+      case MessageType::stage_request: hold(l.as<StageRequest>()); break;
+      case MessageType::clock_reading: clock_.peer_reading("page", steady_now(), l.as<ClockReading>().wall); break;
+      case MessageType::quota_lease_response: loaned(l.as<QuotaLeaseResponse>()); break;
+      case MessageType::survey_request: surveyed(l.tag, l.as<SurveyRequest>()); break;
+      case MessageType::drain_instruction: told_to_drain(l.as<DrainInstruction>()); break;
+      default: ++rejected_input().letters; break;
     }
   }
 
-  void news(News const& n) {
-    Secs const now = now_s();
+  void news(StateUpdate const& n) {
+    Seconds const now = steady_now();
     if (!n.state.empty()) {
       tell_held_back();
-      State const s = read_state(n.state);
+      ReplicatedState const s = read_state(n.state);
       // A node never steps back in one life.
-      if (!have_state_ || s.bal > bal_) {
+      if (!have_state_ || s.ballot > bal_) {
         have_state_ = true;
-        bal_ = s.bal;
-        for (Item const& i : s.items)
+        bal_ = s.ballot;
+        for (ConfigItem const& i : s.items)
           man_.put(i);
         to_fix_ = s.to_fix;
-        evacuations(s.evacs, now);
+        evacuations(s.evacuations, now);
         manifest_changed(now);
       }
     } else if (!n.delta.empty()) {
-      Delta const d = read_delta(n.delta);
-      if (have_state_ && d.bal > bal_) {
-        bal_ = d.bal;
-        for (Item const& i : d.items)
+      StateDelta const d = read_delta(n.delta);
+      if (have_state_ && d.ballot > bal_) {
+        bal_ = d.ballot;
+        for (ConfigItem const& i : d.items)
           man_.put(i);
         to_fix_ = d.to_fix;
-        if (d.evacs_set) evacuations(d.evacs, now);
+        if (d.evacuations_set) evacuations(d.evacuations, now);
         if (!d.items.empty()) manifest_changed(now);
       }
     }
-    counter_.forget(Window(to_fix_));
+    counter_.forget(UsageWindow(to_fix_));
     if (n.rows_full || !n.rows.empty()) {
-      std::vector<Assign::Seen> v;
-      for (Row const& r : n.rows) {
-        Assign::Seen s;
+      std::vector<LoadBalancer::Seen> v;
+      for (ServerRecord const& r : n.rows) {
+        LoadBalancer::Seen s;
         s.id = r.id;
         s.service = r.service;
         s.address = r.address;
         s.zone = r.zone;
         s.capacity = r.capacity;
-        s.ready = r.state == Standing::ready;
+        s.ready = r.state == ServerState::ready;
         s.cold_left = r.cold_left;
         v.push_back(std::move(s));
       }
@@ -216,7 +216,7 @@
     }
     if (!n.sites.empty()) {
       std::map<std::string, u32> m;
-      for (ZoneCount const& z : n.sites)
+      for (ZoneProxyCount const& z : n.sites)
         m[z.zone] = z.n;
       as_.sites(m);
       budgets(now);
@@ -224,26 +224,26 @@
     as_.evacuated(evac_, now);
   }
 
-  void evacuations(std::vector<Evac> const& l, Secs now) {
+  void evacuations(std::vector<Evacuation> const& l, Seconds now) {
     evac_.clear();
-    for (Evac const& e : l)
+    for (Evacuation const& e : l)
       if (e.on) evac_.insert(e.zone);
     as_.evacuated(evac_, now);
   }
 
-  void manifest_changed(Secs now) {
+  void manifest_changed(Seconds now) {
     set_limits();
     rules();
     budgets(now);
   }
 
   // Wanted: a purse for every partner with an allowance. The loop works out the rest.
-  void budgets(Secs now) {
+  void budgets(Seconds now) {
     std::set<std::string> want;
-    for (TenantP const& t : man_.tenants()) {
+    for (TenantPtr const& t : man_.tenants()) {
       if (!t->allowance) continue;
       want.insert(t->name);
-      borrower_.rule(t->name, BudgetRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)},
+      borrower_.rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)},
                      as_.sites_of_all(), now);
     }
     for (std::string const& t : borrower_.tenants())
@@ -253,30 +253,31 @@
   // Holds a change that is being rolled out: it must compile here whole. What is
   // held changes nothing of how errands are handled; in force is only what the
   // register has committed.
-  void hold(Hold const& h) {
+  void hold(StageRequest const& h) {
     if (h.drop) return held_.drop(h.id);
     std::size_t n = 0;
-    for (Item const& i : h.items)
+    for (ConfigItem const& i : h.items)
       n += !i.gone && i.key[0] != 'l' ? 1 : 0;
-    HoldR r;
+    StageResponse r;
     r.id = h.id;
-    r.holds = held_.holds(h.id) || Compiled::from(h.items).size() == n;
+    r.holds = held_.holds(h.id) || CompiledConfiguration::from(h.items).size() == n;
     r.front = at("front").str();
-    if (r.holds) held_.hold(h.id, now_s() + h.for_ms / 1000.0);
-    page_.send(Kind::holdR, 0, r);
+    if (r.holds) held_.hold(h.id, steady_now() + h.for_ms / 1000.0);
+    page_.send(MessageType::stage_response, 0, r);
   }
 
   void rules() {
     for (std::string const& n : pool_names_) {
-      PoolDef const* d = man_.pool(n);
-      if (d != nullptr) as_.rule(as_.pool(n), PoolRule{static_cast<double>(d->conn_limit), d->cold_rate, d->cold_s});
+      ServiceConfig const* d = man_.pool(n);
+      if (d != nullptr)
+        as_.rule(as_.pool(n), ServiceLimits{static_cast<double>(d->conn_limit), d->cold_rate, d->cold_s});
     }
   }
-  PoolIx pool_ix(std::string const& n) {
+  ServiceIndex pool_ix(std::string const& n) {
     if (pool_names_.insert(n).second) {
-      PoolIx const p = as_.pool(n);
-      PoolDef const* d = man_.pool(n);
-      if (d != nullptr) as_.rule(p, PoolRule{static_cast<double>(d->conn_limit), d->cold_rate, d->cold_s});
+      ServiceIndex const p = as_.pool(n);
+      ServiceConfig const* d = man_.pool(n);
+      if (d != nullptr) as_.rule(p, ServiceLimits{static_cast<double>(d->conn_limit), d->cold_rate, d->cold_s});
     }
     return as_.pool(n);
   }
@@ -284,18 +285,18 @@
   // Whether a claim was granted meanwhile can't be known: it is given back once there is
   // an agent again.
   void page_down() {
-    requests_.agent_gone([this](Errand& e) { carry(e, e.core.claim_unknown(0.3)); });
+    requests_.agent_gone([this](ProxiedRequest& e) { carry(e, e.core.claim_unknown(0.3)); });
   }
 
   // ---- what becomes of a claim on a key ----------------------------------------
-  void tell_claim(Errand const& e, Outcome o, std::string ret = "") {
-    Told t;
+  void tell_claim(ProxiedRequest const& e, KeyOutcome o, std::string ret = "") {
+    KeyOutcomeNotice t;
     t.key = e.key;
     t.holder = e.holder;
     t.homes = e.homes;
     t.outcome = o;
     t.ret = std::move(ret);
-    if (page_.up()) return page_.send(Kind::done, 0, t);
+    if (page_.up()) return page_.send(MessageType::key_outcome, 0, t);
     // Kept for the next agent: a claim that nobody gives back bars its key for long.
     held_back_.push_back(codec::pack(t));
     held_back_bytes_ += held_back_.back().size();
@@ -308,13 +309,13 @@
   void tell_held_back() {
     if (!page_.up()) return;
     for (std::string const& b : held_back_)
-      page_.ch()->send(Kind::done, 0, std::string_view(b));
+      page_.ch()->send(MessageType::key_outcome, 0, std::string_view(b));
     held_back_.clear();
     held_back_bytes_ = 0;
   }
 
   void tell_load() {
-    Load l;
+    ProxyLoadReport l;
     l.ready = is_ready();
     l.draining = draining_;
     l.front = at("front").str();
@@ -322,7 +323,7 @@
     getrusage(RUSAGE_SELF, &ru);
     double const cpu = static_cast<double>(ru.ru_utime.tv_sec + ru.ru_stime.tv_sec) +
                        static_cast<double>(ru.ru_utime.tv_usec + ru.ru_stime.tv_usec) * 1e-6;
-    Secs const now = now_s();
+    Seconds const now = steady_now();
     if (now - cpu_at_ > 0.3) {
       // The busier of processor and link, smoothed a little.
       if (cpu_at_ > 0) {
@@ -338,18 +339,18 @@
     l.load = load_;
     u32 keyed = 0, uploads = 0;
     if (leaver_.concerned()) {
-      requests_.each([&](Errand const& e) {
-        keyed += e.lane->kind == LaneKind::keyed ? 1 : 0;
+      requests_.each([&](ProxiedRequest const& e) {
+        keyed += e.route->kind == RouteKind::keyed ? 1 : 0;
         uploads += e.upload ? 1 : 0;
       });
       // Silent for longer than a client may be idle: its connection ended.
       uploads += readings_.open(static_cast<u64>(10 * man_.limits().idle) + 10);
     }
     l.drain = leaver_.word(keyed, uploads, now);
-    page_.send(Kind::load, 0, l);
+    page_.send(MessageType::proxy_load, 0, l);
   }
 
-  bool is_ready() const { return have_state_ && man_.lanes() > 0 && as_.live() > 0 && !draining_; }
+  bool is_ready() const { return have_state_ && man_.routes() > 0 && as_.live() > 0 && !draining_; }
 
   void readiness(evhttp_request* r) {
     if (std::strncmp(evhttp_request_get_uri(r), "/-/readiness", 12) != 0) {
@@ -363,10 +364,10 @@
   }
 
   // ---- a drain that an operator wants -----------------------------------------
-  void told_to_drain(DrainSaid const& d) {
-    if (leaver_.told(d, now_s()))
-      LOG4CPLUS_INFO(lg_, (drains() ? "Drains for maintenance. " : "Drains no more. ")
-                              << requests_.size() << " errands at work.");
+  void told_to_drain(DrainInstruction const& d) {
+    if (leaver_.told(d, steady_now()))
+      LOG4CPLUS_INFO(logger_, (drains() ? "Drains for maintenance. " : "Drains no more. ")
+                                  << requests_.size() << " errands at work.");
     tell_load();
   }
   bool drains() const { return leaver_.drains(); }
@@ -376,7 +377,7 @@
 
   // ---- clients ---------------------------------------------------------------
   // One place writes the proxy's own answers.
-  void write(evhttp_request* r, Verdict const& v, std::string const& attempt) {
+  void write(evhttp_request* r, LocalReply const& v, std::string const& attempt) {
     evkeyvalq* out = evhttp_request_get_output_headers(r);
     if (!attempt.empty()) evhttp_add_header(out, "X-Attempt-Id", attempt.c_str());
     if (v.retry_after >= 0) {
@@ -392,46 +393,47 @@
     evbuffer_free(b);
   }
 
-  static Verdict own(int code, bool close = false, Secs retry = -1) { return verdict_of(code, retry, close); }
+  static LocalReply own(int code, bool close = false, Seconds retry = -1) { return verdict_of(code, retry, close); }
 
   void arrive(evhttp_request* r) {
-    Secs const now = now_s();
-    Heads const heads = heads_of(evhttp_request_get_input_headers(r));
+    Seconds const now = steady_now();
+    Headers const heads = heads_of(evhttp_request_get_input_headers(r));
     std::string const uri = evhttp_request_get_uri(r);
     evhttp_cmd_type const cmd = evhttp_request_get_command(r);
     std::size_t const body = evbuffer_get_length(evhttp_request_get_input_buffer(r));
     bool const chunks = cmd == EVHTTP_REQ_POST || cmd == EVHTTP_REQ_PUT || cmd == EVHTTP_REQ_PATCH;
     readings_.whole(r);
     bytes_in_ += static_cast<double>(body + size_of(heads)) + 150;
-    Admission a =
-        admit(Arrival{heads, uri, body, chunks}, have_state_ ? &man_ : nullptr, man_.limits(), drains(), random01());
+    AdmissionResult a = admit(IncomingRequest{heads, uri, body, chunks}, have_state_ ? &man_ : nullptr, man_.limits(),
+                              drains(), random01());
     if (a.why != nullptr) ++given_up_[a.why];
     if (!a.ok) {
-      if (a.no.code == 400) ++bad_input().calls;
+      if (a.no.code == 400) ++rejected_input().calls;
       return write(r, a.no, a.id);
     }
 
-    auto up = std::make_unique<Errand>();
-    Errand& e = *up;
-    static_cast<Admitted&>(e) = std::move(*a.ok);
+    auto up = std::make_unique<ProxiedRequest>();
+    ProxiedRequest& e = *up;
+    static_cast<AdmittedRequest&>(e) = std::move(*a.ok);
     e.req = r;
     e.cmd = cmd;
     e.uri = uri;
     e.start = now;
     e.body = body;
     e.pool = pool_ix(*e.service);
-    e.core = Request(a.id, e.lane->kind == LaneKind::keyed, Course(e.repeatable, e.lane->max_tries, now + e.left));
+    e.core = RequestMachine(a.id, e.route->kind == RouteKind::keyed,
+                            RetryState(e.repeatable, e.route->max_attempts, now + e.left));
     for (std::string const& h : e.homes)
       e.regions.push_back(as_.region(h));
-    e.timer = event_new(eb_, -1, 0, timer_cb, &e);
+    e.timer = event_new(loop_, -1, 0, timer_cb, &e);
     requests_.open(std::move(up));
     as_.budget(e.pool).errand(now);
-    atlas_.errand(e.lane->name, as_.pool_name(e.pool), e.homes, e.upload, now);
+    atlas_.errand(e.route->name, as_.pool_name(e.pool), e.homes, e.upload, now);
     admit_partner(e, now);
   }
 
   // ---- a partner's budget: it comes first, then rank and worth ------------------
-  void admit_partner(Errand& e, Secs now) {
+  void admit_partner(ProxiedRequest& e, Seconds now) {
     if (!e.tenant || !borrower_.has(e.tenant->name)) return carry(e, e.core.admitted());
     std::string const& t = e.tenant->name;
     bool const high = is_high(e);
@@ -443,33 +445,33 @@
       e.parked = true;
       parked_.push_back({e.h, borrower_.waits(t, now)});
       lend(now);
-      return set_timer(e, std::min(e.deadline(), now + std::max(0.02, 0.2 * e.lane->setpoint)));
+      return set_timer(e, std::min(e.deadline(), now + std::max(0.02, 0.2 * e.route->latency_target)));
     }
     overdrawn(e);
   }
 
   // Every rank but the lowest that lanes have may use the reserve.
-  bool is_high(Errand const& e) const { return e.lane->rank < man_.lowest_rank(); }
+  bool is_high(ProxiedRequest const& e) const { return e.route->rank < man_.lowest_rank(); }
 
-  void overdrawn(Errand& e) {
+  void overdrawn(ProxiedRequest& e) {
     borrower_.refused(e.tenant->name);
     carry(e, e.core.overdrawn(borrower_.wait_of(e.tenant->name)));
   }
 
-  void lend(Secs now) {
+  void lend(Seconds now) {
     if (!page_.up() || !borrower_.due(now)) return;
-    LoanAsk const a = borrower_.ask(now);
+    QuotaLeaseRequest const a = borrower_.ask(now);
     if (a.wants.empty()) return borrower_.lost();
-    page_.send(Kind::loan, 0, a);
+    page_.send(MessageType::quota_lease_request, 0, a);
   }
 
-  void loaned(LoanRet const& r) {
-    Secs const now = now_s();
+  void loaned(QuotaLeaseResponse const& r) {
+    Seconds const now = steady_now();
     borrower_.got(r, now);
     std::vector<Parked> l;
     l.swap(parked_);
     for (Parked const& p : l) {
-      Errand* const e = requests_.find(p.h);
+      ProxiedRequest* const e = requests_.find(p.h);
       if (e == nullptr || !e->parked || e->token) continue;
       if (p.ask > r.seq)
         parked_.push_back(p);
@@ -479,79 +481,79 @@
     lend(now);
   }
 
-  void refund(Errand& e) {
+  void refund(ProxiedRequest& e) {
     if (!e.token || !e.tenant) return;
-    borrower_.give_back(e.tenant->name, e.token, now_s());
+    borrower_.give_back(e.tenant->name, e.token, steady_now());
     e.token = {};
   }
 
-  void set_timer(Errand& e, Secs at) {
-    Secs const t = std::max(0.0005, at - now_s());
+  void set_timer(ProxiedRequest& e, Seconds at) {
+    Seconds const t = std::max(0.0005, at - steady_now());
     timeval tv{static_cast<time_t>(t),
                static_cast<suseconds_t>((t - static_cast<double>(static_cast<time_t>(t))) * 1e6)};
     event_add(e.timer, &tv);
   }
 
-  void end(Errand& e) {
-    if (e.lane->kind == LaneKind::keyed) leaver_.answered(now_s());
+  void end(ProxiedRequest& e) {
+    if (e.route->kind == RouteKind::keyed) leaver_.answered(steady_now());
     event_del(e.timer);
     requests_.close(e);
   }
 
   // Does what the core wants next. An answer that goes on is written by whoever holds it.
-  void carry(Errand& e, Step const& s) {
+  void carry(ProxiedRequest& e, RequestAction const& s) {
     if (s.refund) refund(e);
-    if (s.claim == ClaimEnd::not_run) tell_claim(e, Outcome::not_run);
-    if (s.claim == ClaimEnd::lost) tell_claim(e, Outcome::lost);
+    if (s.claim == ClaimDisposition::not_run) tell_claim(e, KeyOutcome::not_run);
+    if (s.claim == ClaimDisposition::lost) tell_claim(e, KeyOutcome::lost);
     if (s.why != nullptr) ++given_up_[s.why];
     switch (s.what) {
-      case Step::Do::claim: return ask(e);
-      case Step::Do::choose: return attempt(e);
-      case Step::Do::say: write(e.req, s.verdict, e.core.id()); return end(e);
-      case Step::Do::wait:
-      case Step::Do::pass:
-      case Step::Do::repeat: break;
+      case RequestAction::Do::claim: return ask(e);
+      case RequestAction::Do::choose: return attempt(e);
+      case RequestAction::Do::say: write(e.req, s.verdict, e.core.id()); return end(e);
+      case RequestAction::Do::wait:
+      case RequestAction::Do::pass:
+      case RequestAction::Do::repeat: break;
     }
   }
 
-  static Secs wait_of(Errand const& e) { return 0.05 + 0.25 * e.lane->setpoint * (0.5 + random01()); }
+  static Seconds wait_of(ProxiedRequest const& e) { return 0.05 + 0.25 * e.route->latency_target * (0.5 + random01()); }
   // Nobody can take it: if it has not run, the client is told when to come back.
-  void give_up(Errand& e, char const* why) { carry(e, e.core.none(now_s(), wait_of(e), why)); }
+  void give_up(ProxiedRequest& e, char const* why) { carry(e, e.core.none(steady_now(), wait_of(e), why)); }
 
   // ---- keys ------------------------------------------------------------------
-  void ask(Errand& e) {
+  void ask(ProxiedRequest& e) {
     if (!page_.up()) return carry(e, e.core.claim_refused(own(503, false, 0.3)));
     e.holder = random64() | 1;
     u32 const tag = requests_.ask(e);
-    Ask a;
+    AcquireKeyRequest a;
     a.key = e.key;
     a.holder = e.holder;
-    a.work_ms = static_cast<u32>(std::max(0.0, e.deadline() - now_s()) * 1000);
+    a.work_ms = static_cast<u32>(std::max(0.0, e.deadline() - steady_now()) * 1000);
     a.homes = e.homes;
-    page_.send(Kind::ask, tag, a);
+    page_.send(MessageType::acquire_key_request, tag, a);
     set_timer(e, e.deadline());
   }
 
-  void asked(u32 tag, AskR const& a) {
-    Errand* const e = requests_.asked(tag, [&](Errand const& x) { return a.holder == x.holder; });
+  void asked(u32 tag, AcquireKeyResponse const& a) {
+    ProxiedRequest* const e = requests_.asked(tag, [&](ProxiedRequest const& x) { return a.holder == x.holder; });
     if (e == nullptr) return;
     // An answer that can't be read is told to its client before it ends the agent's channel.
-    std::optional<Return> first;
-    if (a.leave == Leave::repeat) {
+    std::optional<StoredAnswer> first;
+    if (a.leave == AcquireResult::repeat) {
       try {
-        first = codec::unpack<Return>(a.ret);
-      } catch (codec::Malformed const&) {
+        first = codec::unpack<StoredAnswer>(a.ret);
+      } catch (codec::MalformedMessage const&) {
         carry(*e, e->core.claim_refused(own(502)));
         throw;
       }
       if (first->code < 200 || first->code > 599) return carry(*e, e->core.claim_refused(own(502)));
     }
     switch (a.leave) {
-      case Leave::run: carry(*e, e->core.claim_granted()); break;
-      case Leave::repeat: {
-        Return const& r = *first;
+      case AcquireResult::run: carry(*e, e->core.claim_granted()); break;
+      case AcquireResult::repeat: {
+        StoredAnswer const& r = *first;
         if (r.key != e->key) {
-          requests_.fence().drop(Drop::other_key);
+          requests_.fence().drop(ResponseRejection::other_key);
           return carry(*e, e->core.claim_refused(own(502)));
         }
         carry(*e, e->core.claim_repeated());
@@ -572,9 +574,11 @@
         end(*e);
         break;
       }
-      case Leave::at_work: carry(*e, e->core.claim_refused(own(409, false, 0.1 + 0.3 * e->lane->setpoint))); break;
-      case Leave::lost: carry(*e, e->core.claim_refused(own(502))); break;
-      case Leave::unavailable:
+      case AcquireResult::at_work:
+        carry(*e, e->core.claim_refused(own(409, false, 0.1 + 0.3 * e->route->latency_target)));
+        break;
+      case AcquireResult::lost: carry(*e, e->core.claim_refused(own(502))); break;
+      case AcquireResult::unavailable:
         carry(*e, e->core.claim_refused(own(503, false, 0.2 + 0.2 * random01()), "key not granted"));
         break;
       default: carry(*e, e->core.claim_refused(own(502))); break;  // a word that we don't know promises nothing
@@ -582,35 +586,36 @@
   }
 
   // ---- servers ---------------------------------------------------------------
-  Wish wish_of(Errand const& e) const {
-    Wish w;
+  EndpointQuery wish_of(ProxiedRequest const& e) const {
+    EndpointQuery w;
     w.pool = e.pool;
     w.homes = &e.regions;
-    w.tried = &e.tried;
+    w.attempted = &e.attempted;
     w.bulky = e.upload;
-    w.setpoint = e.lane->setpoint;
+    w.latency_target = e.route->latency_target;
     return w;
   }
 
-  void attempt(Errand& e) {
-    Secs const now = now_s();
+  void attempt(ProxiedRequest& e) {
+    Seconds const now = steady_now();
     if (e.deadline() - now < 0.002) return give_up(e, "no time left");
-    Assign::Choice const c = as_.choose(wish_of(e), now);
-    if (!c.ix) return give_up(e, c.no == Assign::No::none ? "nobody may take it" : "all full");
-    if (e.course().tries() == 0 && make_way(e.rank, c.est, e.lane->setpoint)) return give_up(e, "made way");
+    LoadBalancer::Choice const c = as_.choose(wish_of(e), now);
+    if (!c.ix) return give_up(e, c.no == LoadBalancer::No::none ? "nobody may take it" : "all full");
+    if (e.course().attempts() == 0 && should_shed(e.rank, c.est, e.route->latency_target))
+      return give_up(e, "made way");
     send(e, *c.ix, now);
   }
 
-  void send(Errand& e, ServerIx s, Secs now) {
-    Target& t = as_.at(s);
+  void send(ProxiedRequest& e, ServerIndex s, Seconds now) {
+    Endpoint& t = as_.at(s);
     bool const rep = e.course().repeatable();
-    Chan& c = shelf_.take(s, as_.idle_safe(s, rep, now), now, e.h.ptr());
+    UpstreamConnection& c = shelf_.take(s, as_.idle_safe(s, rep, now), now, e.h.ptr());
     as_.took(s, now);
     e.chan = &c;
     e.server = s;
-    e.core.began(now, std::max(4 * as_.lat_of(e.pool), e.lane->setpoint * 0.85), connect_limit(e));
-    e.tried.push_back(s);
-    atlas_.sent(e.lane->name, as_.zone_name(t.zone), now);
+    e.core.began(now, std::max(4 * as_.lat_of(e.pool), e.route->latency_target * 0.85), connect_limit(e));
+    e.attempted.push_back(s);
+    atlas_.sent(e.route->name, as_.zone_name(t.zone), now);
 
     evhttp_request* u = shelf_.request(c);
     evkeyvalq* out = evhttp_request_get_output_headers(u);
@@ -639,29 +644,31 @@
     // for giving up on it helps nobody.
     bool const far = !(t.region == as_.region(st_.region));
     Handle const h = e.h;
-    if (!shelf_.send(c, u, e.cmd, e.uri.c_str(), rep ? (far ? 600 : 250) : 2000)) return ended(e, End::unsent);
+    if (!shelf_.send(c, u, e.cmd, e.uri.c_str(), rep ? (far ? 600 : 250) : 2000))
+      return ended(e, AttemptResult::unsent);
     if (requests_.find(h) == nullptr || e.chan != &c) return;  // it ended within the call
     bytes_out_ += static_cast<double>(e.body) + 600;
     if (far) far_out_ += static_cast<double>(e.body) + 600;
     if (far) ++far_n_;
-    if (e.tenant) uncounted_.push_back({e.h, e.course().tries(), now});
+    if (e.tenant) uncounted_.push_back({e.h, e.course().attempts(), now});
     set_timer(e, e.course().next(now, true, false));
   }
 
-  Secs connect_limit(Errand const& e) {
-    return as_.at(e.server).region == as_.region(st_.region) ? 0.25 : std::max(0.25, std::min(0.5, e.lane->setpoint));
+  Seconds connect_limit(ProxiedRequest const& e) {
+    return as_.at(e.server).region == as_.region(st_.region) ? 0.25
+                                                             : std::max(0.25, std::min(0.5, e.route->latency_target));
   }
 
-  void returned(Chan& c, evhttp_request* r) {
-    Errand* const e = requests_.on(Handle::of(c.owner), &c);
+  void returned(UpstreamConnection& c, evhttp_request* r) {
+    ProxiedRequest* const e = requests_.on(Handle::of(c.owner), &c);
     if (e == nullptr) return shelf_.doom(c);
-    Secs const now = now_s();
+    Seconds const now = steady_now();
     if (r == nullptr || evhttp_request_get_response_code(r) == 0) {
       // An idle channel that the server had closed or forgotten: no byte came back.
-      if (c.idle_was > 0 && now - e->course().try_at() < 0.3) as_.idle_lost(c.server, c.idle_was, now);
-      return ended(*e, c.sent ? End::broken : End::unsent);
+      if (c.idle_was > 0 && now - e->course().attempt_started_at() < 0.3) as_.idle_lost(c.server, c.idle_was, now);
+      return ended(*e, c.sent ? AttemptResult::broken : AttemptResult::unsent);
     }
-    Reply rep;
+    UpstreamResponse rep;
     rep.code = evhttp_request_get_response_code(r);
     rep.heads = heads_of(evhttp_request_get_input_headers(r));
     evbuffer* body = evhttp_request_get_input_buffer(r);
@@ -670,25 +677,25 @@
     bytes_in_ += static_cast<double>(rep.body) + 400;
     bytes_out_ += static_cast<double>(rep.body) + 400;
     if (!(as_.at(c.server).region == as_.region(st_.region))) far_in_ += static_cast<double>(rep.body) + 400;
-    Judged const jd = e->core.judge(rep);
-    End const en = jd.end;
+    ResponseCheck const jd = e->core.judge(rep);
+    AttemptResult const en = jd.end;
     if (jd.why) requests_.fence().drop(*jd.why);
     bufferevent* bev = evhttp_connection_get_bufferevent(c.ec);
     bool const surplus = evbuffer_get_length(bufferevent_get_input(bev)) > 0;
-    if (surplus) requests_.fence().drop(Drop::surplus);
+    if (surplus) requests_.fence().drop(ResponseRejection::surplus);
     std::string const* cn = find_head(rep.heads, "Connection");
     bool const closing = cn != nullptr && same_name(*cn, "close");
     if (std::string const* cl = find_head(rep.heads, "X-Cold-Remaining"); cl != nullptr) {
       double const left = std::strtod(cl->c_str(), nullptr);
       if (left > 0 && left < 1e9) as_.cold(c.server, left, now);
     }
-    if (en == End::broken || surplus || closing || draining_) {
-      if (en == End::whole || en == End::not_run || en == End::misdirected) {
+    if (en == AttemptResult::broken || surplus || closing || draining_) {
+      if (en == AttemptResult::whole || en == AttemptResult::not_run || en == AttemptResult::misdirected) {
         e->chan = nullptr;
         shelf_.doom(c);
       }
     } else {
-      Secs limit = 4;
+      Seconds limit = 4;
       if (std::string const* ka = find_head(rep.heads, "Keep-Alive"); ka != nullptr) {
         auto const p = ka->find("timeout=");
         if (p != std::string::npos) limit = std::clamp(std::strtod(ka->c_str() + p + 8, nullptr) - 1.5, 0.0, 3600.0);
@@ -696,19 +703,19 @@
       e->chan = nullptr;
       shelf_.keep(c, limit, now);
     }
-    if (en != End::whole) return ended(*e, en);
-    as_.gave(e->server, now - e->course().try_at(), true, now);
+    if (en != AttemptResult::whole) return ended(*e, en);
+    as_.gave(e->server, now - e->course().attempt_started_at(), true, now);
     if (rep.code >= 500) as_.failed(e->server, now);
     count(*e);
-    Step const s = e->core.ended(en, now, 0, [] { return false; });
+    RequestAction const s = e->core.ended(en, now, 0, [] { return false; });
     carry(*e, s);
-    pass(*e, r, rep, body, s.claim == ClaimEnd::returned);
+    pass(*e, r, rep, body, s.claim == ClaimDisposition::returned);
   }
 
   // A whole answer goes on unchanged.
-  void pass(Errand& e, evhttp_request* r, Reply const& rep, evbuffer* body, bool keep) {
+  void pass(ProxiedRequest& e, evhttp_request* r, UpstreamResponse const& rep, evbuffer* body, bool keep) {
     if (keep) {
-      Return ret;
+      StoredAnswer ret;
       ret.key = e.key;
       ret.holder = e.holder;
       ret.homes = e.homes;
@@ -719,7 +726,7 @@
         if (!hop_only(k) && !same_name(k, "Date")) ret.heads.push_back(k + ":" + v);
       ret.body.resize(rep.body);
       evbuffer_copyout(body, ret.body.data(), rep.body);
-      tell_claim(e, Outcome::returned, codec::pack(ret));
+      tell_claim(e, KeyOutcome::returned, codec::pack(ret));
     }
     evkeyvalq* out = evhttp_request_get_output_headers(e.req);
     for (auto const& [k, v] : rep.heads)
@@ -730,65 +737,65 @@
     end(e);
   }
 
-  void let_go(Errand& e) {
+  void let_go(ProxiedRequest& e) {
     if (e.chan == nullptr) return;
-    Chan& c = *e.chan;
+    UpstreamConnection& c = *e.chan;
     e.chan = nullptr;
     c.busy = false;
     shelf_.doom(c);
   }
 
   // A try ended without an answer to pass on.
-  void ended(Errand& e, End en) {
-    Secs const now = now_s();
-    ServerIx const s = e.server;
+  void ended(ProxiedRequest& e, AttemptResult en) {
+    Seconds const now = steady_now();
+    ServerIndex const s = e.server;
     bool const kept = e.chan != nullptr && e.chan->idle_was >= 0;
     let_go(e);
     as_.dropped(s);
     if (!surely_not_run(en)) count(e);
     switch (en) {
       // A server that closes a kept channel does well; only one that lets nobody in is shunned.
-      case End::unsent:
+      case AttemptResult::unsent:
         if (!kept) as_.shun(s, 0.4, now);
         break;
-      case End::misdirected: as_.misdirected(s); break;
-      case End::not_run: as_.full(s, now); break;
-      case End::broken: as_.shun(s, now - e.course().try_at() > 0.2 ? 0.4 : 0.1, now); break;
-      case End::silent: as_.shun(s, 0.1, now); break;
-      case End::whole: break;
+      case AttemptResult::misdirected: as_.misdirected(s); break;
+      case AttemptResult::not_run: as_.full(s, now); break;
+      case AttemptResult::broken: as_.shun(s, now - e.course().attempt_started_at() > 0.2 ? 0.4 : 0.1, now); break;
+      case AttemptResult::silent: as_.shun(s, 0.1, now); break;
+      case AttemptResult::whole: break;
     }
     carry(e, e.core.ended(en, now, wait_of(e), [&] { return as_.budget(e.pool).take(now, as_.part()); }));
   }
 
-  void timer(Errand* ep) {
-    Errand& e = *ep;
-    Secs const now = now_s();
+  void timer(ProxiedRequest* ep) {
+    ProxiedRequest& e = *ep;
+    Seconds const now = steady_now();
     if (e.parked && !e.token) {  // the lender kept us waiting
       return overdrawn(e);
     }
     bool const sent = e.chan != nullptr && e.chan->sent;
     switch (e.course().due(now, e.chan != nullptr, sent, terminating())) {
-      case Course::Due::expired: return expired(e, now);
-      case Course::Due::unsent: return ended(e, End::unsent);
-      case Course::Due::late:
+      case RetryState::Due::expired: return expired(e, now);
+      case RetryState::Due::unsent: return ended(e, AttemptResult::unsent);
+      case RetryState::Due::late:
         if (e.deadline() - now > 0.3 * as_.lat_of(e.pool) && replaced(e, now)) return;
         break;
-      case Course::Due::wait: break;
+      case RetryState::Due::wait: break;
     }
     set_timer(e, e.course().next(now, e.chan != nullptr, sent));
   }
 
   // Breaks off an attempt at a server that is at work, once all that its retry needs is had.
   // Nothing else runs between the choice of the server and the send to it.
-  bool replaced(Errand& e, Secs now) {
-    Assign::Choice c;
+  bool replaced(ProxiedRequest& e, Seconds now) {
+    LoadBalancer::Choice c;
     auto const reserve = [&] {
       c = as_.choose(wish_of(e), now);
       return static_cast<bool>(c.ix);
     };
     if (!e.core.replace_attempt(now, terminating(), reserve, [&] { return as_.budget(e.pool).take(now, as_.part()); }))
       return false;
-    ServerIx const s = e.server;
+    ServerIndex const s = e.server;
     let_go(e);
     as_.dropped(s);
     count(e);
@@ -797,7 +804,7 @@
     return true;
   }
 
-  void expired(Errand& e, Secs now) {
+  void expired(ProxiedRequest& e, Seconds now) {
     bool const sent = e.chan != nullptr && e.chan->sent;
     if (sent) count(e);
     if (e.chan != nullptr) {
@@ -811,38 +818,39 @@
   // ---- what servers began, by partner and window -----------------------------------
   // A try counts once it is clear that its server did not turn it away: at its answer,
   // or after a moment's silence. It counts in the window in which it was sent.
-  void count(Errand& e) {
-    if (!e.tenant || e.counted >= e.course().tries()) return;
-    e.counted = e.course().tries();
-    Wall const w = clock_.known() ? clock_.at(e.course().try_at()) : wall_s() - (now_s() - e.course().try_at());
+  void count(ProxiedRequest& e) {
+    if (!e.tenant || e.counted >= e.course().attempts()) return;
+    e.counted = e.course().attempts();
+    WallSeconds const w = clock_.known() ? clock_.at(e.course().attempt_started_at())
+                                         : wall_clock_now() - (steady_now() - e.course().attempt_started_at());
     counter_.began(e.tenant->name, window_of(w, st_.bounds.reportPeriodS));
   }
 
-  void count_silent(Secs now) {
+  void count_silent(Seconds now) {
     while (!uncounted_.empty() && now - uncounted_.front().at > 0.3) {
       Uncounted const u = uncounted_.front();
       uncounted_.pop_front();
-      Errand* const e = requests_.find(u.h);
-      if (e != nullptr && e->course().tries() == u.tries && e->chan != nullptr && e->chan->sent) count(*e);
+      ProxiedRequest* const e = requests_.find(u.h);
+      if (e != nullptr && e->course().attempts() == u.attempts && e->chan != nullptr && e->chan->sent) count(*e);
     }
   }
 
-  void tell_tally(Secs now) {
+  void tell_tally(Seconds now) {
     if (now - tallied_ < 0.25 || !page_.up()) return;
     tallied_ = now;
-    TallyNote const n = counter_.take(tally_all_);
+    UsageUpdate const n = counter_.take(tally_all_);
     tally_all_ = false;
-    if (!n.rows.empty()) page_.send(Kind::tally, 0, n);
+    if (!n.rows.empty()) page_.send(MessageType::usage_update, 0, n);
   }
 
   // What is open at these servers. A session is a request in work there: between two
   // requests a client's connection may go on to any server without loss.
   // No names: of all.
-  std::vector<Held> holdings(std::vector<std::string> const& ids, Secs now) {
-    std::map<std::string, Held> m;
+  std::vector<OpenWork> holdings(std::vector<std::string> const& ids, Seconds now) {
+    std::map<std::string, OpenWork> m;
     for (std::string const& id : ids)
       m[id].id = id;
-    requests_.each([&](Errand const& e) {
+    requests_.each([&](ProxiedRequest const& e) {
       if (e.chan == nullptr) return;
       std::string const& id = as_.at(e.server).id;
       auto it = m.find(id);
@@ -851,24 +859,24 @@
         it->second.id = id;
       }
       if (it == m.end()) return;
-      Held& h = it->second;
+      OpenWork& h = it->second;
       ++h.sessions;
-      h.keyed += e.lane->kind == LaneKind::keyed ? 1 : 0;
+      h.keyed += e.route->kind == RouteKind::keyed ? 1 : 0;
       if (!e.upload) return;
       ++h.uploads;
       h.bytes += static_cast<double>(e.body);
       h.age = std::max(h.age, now - e.start);
     });
-    std::vector<Held> out;
+    std::vector<OpenWork> out;
     for (auto& [id, h] : m)
       if (h.sessions > 0) out.push_back(std::move(h));  // what is not named is not held
     return out;
   }
 
   // ---- what this proxy sees, for whoever plans -----------------------------------------
-  void surveyed(u32 tag, SurveyAsk const& a) {
-    Secs const now = now_s();
-    Survey s;
+  void surveyed(u32 tag, SurveyRequest const& a) {
+    Seconds const now = steady_now();
+    TrafficSurvey s;
     s.id = a.id;
     s.front = at("front").str();
     s.zone = st_.zone;
@@ -876,32 +884,33 @@
     s.node = st_.nodeName;
     s.held = holdings(a.servers, now);
     if (a.held) {
-      page_.send(Kind::surveyR, tag, s);
+      page_.send(MessageType::survey_response, tag, s);
       return;
     }
     atlas_.fill(s, now);
-    for (u8 i = 0; i < static_cast<u8>(Drop::count); ++i) {
-      Drop const d = static_cast<Drop>(i);
-      if (requests_.fence().dropped(d) > 0) s.dropped.push_back(Dropped{drop_name(d), requests_.fence().dropped(d)});
+    for (u8 i = 0; i < static_cast<u8>(ResponseRejection::count); ++i) {
+      ResponseRejection const d = static_cast<ResponseRejection>(i);
+      if (requests_.fence().dropped(d) > 0)
+        s.dropped.push_back(DiscardCount{drop_name(d), requests_.fence().dropped(d)});
     }
-    for (Target const& t : as_.targets()) {
+    for (Endpoint const& t : as_.targets()) {
       if (!t.ready || t.lat <= 0) continue;
-      Speed x;
+      ServerLatency x;
       x.id = t.id;
       x.lat = t.lat;
       x.dev = t.dev;
       x.told = true;
       s.speeds.push_back(std::move(x));
     }
-    page_.send(Kind::surveyR, tag, s);
+    page_.send(MessageType::survey_response, tag, s);
   }
 
   void tick() {
-    Secs const now = now_s();
+    Seconds const now = steady_now();
     readings_.tick();
     page_.tick(now);
     held_.expire(now);
-    clock_.own(now, wall_s());
+    clock_.own(now, wall_clock_now());
     count_silent(now);
     tell_tally(now);
     lend(now);
@@ -909,21 +918,21 @@
     if (now - far_at_ > 10) {
       far_at_ = now;
       if (far_n_ > 0)
-        LOG4CPLUS_INFO(lg_, "Sent to other regions: " << far_n_ << " errands, " << static_cast<u64>(far_out_)
-                                                      << " bytes out, " << static_cast<u64>(far_in_) << " in.");
+        LOG4CPLUS_INFO(logger_, "Sent to other regions: " << far_n_ << " errands, " << static_cast<u64>(far_out_)
+                                                          << " bytes out, " << static_cast<u64>(far_in_) << " in.");
       far_out_ = far_in_ = 0;
       far_n_ = 0;
     }
     while (shelf_.late > 0 && shelf_.late--)
-      requests_.fence().drop(Drop::late_answer);
+      requests_.fence().drop(ResponseRejection::late_answer);
     if (now - fenced_at_ > 10) {
       fenced_at_ = now;
       if (std::string const d = requests_.fence().since(); !d.empty())
-        LOG4CPLUS_INFO(lg_, "Dropped as not the answer that was waited for: " << d << ".");
+        LOG4CPLUS_INFO(logger_, "Dropped as not the answer that was waited for: " << d << ".");
     }
     if (now - bad_at_ > 10) {
       bad_at_ = now;
-      say_bad_input();
+      log_rejected_input();
     }
     if (now - said_at_ > 10 && !given_up_.empty()) {
       said_at_ = now;
@@ -931,11 +940,11 @@
       for (auto const& [why, n] : given_up_)
         line += (line.empty() ? "" : ", ") + std::string(why) + " " + std::to_string(n);
       given_up_.clear();
-      LOG4CPLUS_INFO(lg_, "Gave up: " << line << ".");
+      LOG4CPLUS_INFO(logger_, "Gave up: " << line << ".");
     }
     if (!draining_) return;
-    Secs const g = st_.bounds.gracePeriodS;
-    Secs const t = now - drain_at_;
+    Seconds const g = st_.bounds.gracePeriodS;
+    Seconds const t = now - drain_at_;
     if (sock_ != nullptr && t > g * 0.45) {
       evhttp_del_accept_socket(front_, sock_);
       sock_ = nullptr;
@@ -944,57 +953,57 @@
     if ((sock_ == nullptr && requests_.size() == 0 && now - closed_at_ > 0.3) || t > g - 0.4) {
       tallied_ = 0;
       tell_tally(now);
-      event_base_loopbreak(eb_);
+      event_base_loopbreak(loop_);
     }
   }
 
-  event_base* eb_;
+  event_base* loop_;
   Settings st_;
-  Assign as_;
-  Shelf shelf_;
-  Readings readings_;
-  Compiled man_;
-  Link page_;
+  LoadBalancer as_;
+  ConnectionPool shelf_;
+  BodyReadTracker readings_;
+  CompiledConfiguration man_;
+  PeerLink page_;
   evhttp* front_ = nullptr;
   evhttp* ready_ = nullptr;
   evhttp_bound_socket* sock_ = nullptr;
-  std::unique_ptr<Ticker> tick_, load_tick_;
+  std::unique_ptr<PeriodicTimer> tick_, load_tick_;
   Requests requests_;
   std::set<std::string> pool_names_, evac_;
-  Holder held_;  // rollouts whose change is held here
-  u64 life_;
-  Leaver leaver_;
-  TrueClock clock_;
-  Counter counter_;
+  StagedChanges held_;  // rollouts whose change is held here
+  u64 incarnation_;
+  ProxyDrainState leaver_;
+  MedianClock clock_;
+  UsageCounter counter_;
   struct Uncounted {
     Handle h;
-    u32 tries = 0;
-    Secs at = 0;
+    u32 attempts = 0;
+    Seconds at = 0;
   };
   std::deque<Uncounted> uncounted_;  // tries that may yet be turned away, oldest first
-  Borrower borrower_;
+  QuotaClient borrower_;
   struct Parked {
     Handle h;
     u64 ask = 0;  // whose answer it waits for
   };
   std::vector<Parked> parked_;
-  Observer atlas_;
+  TrafficObserver atlas_;
   std::deque<std::string> held_back_;  // ends of claims, for an agent that is away
   std::size_t held_back_bytes_ = 0;
   static constexpr std::size_t held_back_most = 4 << 20;
-  Secs fenced_at_ = 0;
+  Seconds fenced_at_ = 0;
   u64 to_fix_ = 0;
   std::map<std::string, u64> given_up_;  // by reason, since it was last logged
-  Secs said_at_ = 0, bad_at_ = 0;
+  Seconds said_at_ = 0, bad_at_ = 0;
   bool have_state_ = false, draining_ = false, tally_all_ = false;
   Ballot bal_;
-  Secs drain_at_ = 0, closed_at_ = 0, cpu_at_ = 0, tallied_ = 0;
+  Seconds drain_at_ = 0, closed_at_ = 0, cpu_at_ = 0, tallied_ = 0;
   double cpu_ = 0, load_ = 0;
   double far_out_ = 0, far_in_ = 0;  // over the borders of our region, since it was last logged
   u64 far_n_ = 0;
-  Secs far_at_ = 0;
+  Seconds far_at_ = 0;
   double bytes_in_ = 0, bytes_out_ = 0;  // about what went over the link since load was told
-  log4cplus::Logger lg_ = log4cplus::Logger::getInstance("circulation");
+  log4cplus::Logger logger_ = log4cplus::Logger::getInstance("proxy");
 };
 
 Proxy* Proxy::self_ = nullptr;
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -8,14 +8,14 @@
 
 // Cut off: directly twice, then relays in turn with the direct way between them.
 Test(ways, a_cut_off_link_tries_every_relay_and_the_direct_way) {
-  Ways w;
-  std::set<std::size_t> tried;
+  DialStrategy w;
+  std::set<std::size_t> attempted;
   std::size_t direct_gap = 0, most_gap = 0;
   for (int i = 0; i < 30; ++i) {
     auto const r = w.next(4);
     if (i < 2) cr_assert_not(r.has_value(), "the direct way first");
     if (r) {
-      tried.insert(*r);
+      attempted.insert(*r);
       ++direct_gap;
     } else {
       direct_gap = 0;
@@ -23,7 +23,7 @@
     most_gap = std::max(most_gap, direct_gap);
     w.failed();
   }
-  cr_assert_eq(tried.size(), 4u);
+  cr_assert_eq(attempted.size(), 4u);
   cr_assert_leq(most_gap, 2u);
   w.direct();
   cr_assert_not(w.next(4).has_value());
@@ -34,15 +34,15 @@
 }
 
 // One parcel at a time is cut short or spoiled: it is refused, not guessed at.
-Test(parcel, large_letters_shrink_and_small_ones_stay) {
+Test(encode_message, large_letters_shrink_and_small_ones_stay) {
   std::string big;
   for (int i = 0; i < 400; ++i)
     big += "{\"name\":\"r-" + std::to_string(i) + "\",\"kind\":\"idempotent\"}";
-  Parcel const p = parcel(Kind::news, big);
-  cr_assert(p.kind == Kind::zipped);
+  EncodedMessage const p = encode_message(MessageType::state_update, big);
+  cr_assert(p.kind == MessageType::deflated);
   cr_assert_lt(p.body().size(), big.size() / 5);
-  Parcel const s = parcel(Kind::news, "short");
-  cr_assert(s.kind == Kind::news && s.body() == "short");
+  EncodedMessage const s = encode_message(MessageType::state_update, "short");
+  cr_assert(s.kind == MessageType::state_update && s.body() == "short");
 }
 
 // One line of the settings is spoiled at a time; the field is named. Unknown ones pass.
@@ -65,7 +65,7 @@
     try {
       parse_settings(t);
       cr_assert(false, "%s was taken", to);
-    } catch (BadSetting const& e) {
+    } catch (SettingsError const& e) {
       cr_assert_str_eq(e.field.c_str(), field);
     }
   }
--- a/tests/configuration/configuration_test.cpp
+++ b/tests/configuration/configuration_test.cpp
@@ -23,10 +23,10 @@
 }
 std::string fault_of(std::string const& body) {
   try {
-    Amendment const a = read_amend(body);
-    std::map<std::string, Item> items;
+    ConfigChange const a = read_amend(body);
+    std::map<std::string, ConfigItem> items;
     std::string f;
-    return join(items, a, f) == Joined::unknown_service ? "unknown: " + f : "";
+    return join(items, a, f) == MergeResult::unknown_service ? "unknown: " + f : "";
   } catch (json::Fault const& e) {
     return e.what();
   }
@@ -34,14 +34,14 @@
 }  // namespace
 
 Test(manifest, whole_call_is_taken_and_read_back_as_sent) {
-  std::map<std::string, Item> items;
+  std::map<std::string, ConfigItem> items;
   std::string f;
-  cr_assert(join(items, read_amend(whole), f) == Joined::changed);
+  cr_assert(join(items, read_amend(whole), f) == MergeResult::changed);
   std::string const back = render_read(items);
-  std::map<std::string, Item> again;
-  cr_assert(join(again, read_amend("{\"upsert\":" + back + "}"), f) == Joined::changed);
+  std::map<std::string, ConfigItem> again;
+  cr_assert(join(again, read_amend("{\"upsert\":" + back + "}"), f) == MergeResult::changed);
   cr_assert(items == again);
-  cr_assert(join(items, read_amend(whole), f) == Joined::same);
+  cr_assert(join(items, read_amend(whole), f) == MergeResult::same);
 }
 
 // One field of one good call is spoiled at a time; the fault names the field.
@@ -82,28 +82,28 @@
 }
 
 Test(manifest, highest_version_holds_set_or_dropped) {
-  std::map<std::string, Item> items;
+  std::map<std::string, ConfigItem> items;
   std::string f;
   join(items, read_amend(whole), f);
   auto call = [&](char const* s) { return join(items, read_amend(s), f); };
-  cr_assert(call(R"({"remove":{"routes":[{"name":"r1","generation":"00000009"}]}})") == Joined::changed);
+  cr_assert(call(R"({"remove":{"routes":[{"name":"r1","generation":"00000009"}]}})") == MergeResult::changed);
   cr_assert(items.at("r/r1").gone);
-  cr_assert(join(items, read_amend(whole), f) == Joined::same, "an older upsert doesn't bring it back");
+  cr_assert(join(items, read_amend(whole), f) == MergeResult::same, "an older upsert doesn't bring it back");
   cr_assert(items.at("r/r1").gone);
-  cr_assert(Compiled::from({items.at("r/r1")}).lanes() == 0);
-  cr_assert(call(R"({"remove":{"routes":[{"name":"r2","generation":"00000007"}]}})") == Joined::clash,
+  cr_assert(CompiledConfiguration::from({items.at("r/r1")}).routes() == 0);
+  cr_assert(call(R"({"remove":{"routes":[{"name":"r2","generation":"00000007"}]}})") == MergeResult::clash,
             "one generation, two bodies");
   cr_assert_not(items.at("r/r2").gone);
 }
 
 Test(manifest, longest_prefix_of_the_host_wins) {
-  std::map<std::string, Item> items;
+  std::map<std::string, ConfigItem> items;
   std::string f;
   join(items, read_amend(whole), f);
-  std::vector<Item> v;
+  std::vector<ConfigItem> v;
   for (auto& [k, i] : items)
     v.push_back(i);
-  Compiled const c = Compiled::from(v);
+  CompiledConfiguration const c = CompiledConfiguration::from(v);
   cr_assert_str_eq(c.find("a.example", "/p/q/x")->name.c_str(), "r2");
   cr_assert_str_eq(c.find("a.example", "/p/x")->name.c_str(), "r1");
   cr_assert(c.find("a.example", "/q/") == nullptr);
@@ -112,33 +112,33 @@
 }
 
 Test(codec, spoiled_messages_never_pass_for_others) {
-  Item it{};
+  ConfigItem it{};
   it.key = "r/a";
-  it.gen = Gen(300);
+  it.gen = Generation(300);
   it.body = "{}";
   std::string const s = codec::pack(it);
-  cr_assert(codec::unpack<Item>(s) == it);
+  cr_assert(codec::unpack<ConfigItem>(s) == it);
   for (std::size_t n = 1; n < s.size(); ++n) {
     try {
-      Item const x = codec::unpack<Item>(s.substr(0, n));
+      ConfigItem const x = codec::unpack<ConfigItem>(s.substr(0, n));
       cr_assert_not(x == it);
-    } catch (codec::Malformed const&) {
+    } catch (codec::MalformedMessage const&) {
     }
   }
-  Item const zero{};
-  cr_assert(codec::unpack<Item>("") == zero, "what is not said is zero");
+  ConfigItem const zero{};
+  cr_assert(codec::unpack<ConfigItem>("") == zero, "what is not said is zero");
 }
 
 namespace {
 std::string const partners =
     R"({"upsert":{"customers":[{"name":"ada","keys":["k1","k2"],"rank":1,"homeRegions":["north"],"generation":"00000005"},
  {"name":"bob","keys":["k3"],"allowance":{"rate":10,"burst":20,"reserve":0.2},"generation":"00000005"}]}})";
-Compiled compiled(std::vector<std::string> const& calls) {
-  std::map<std::string, Item> items;
+CompiledConfiguration compiled(std::vector<std::string> const& calls) {
+  std::map<std::string, ConfigItem> items;
   std::string f;
   for (auto const& c : calls)
     join(items, read_amend(c), f);
-  Compiled out;
+  CompiledConfiguration out;
   for (auto const& [k, i] : items)
     out.put(i);
   return out;
@@ -146,18 +146,18 @@
 }  // namespace
 
 Test(partners, keys_name_them_and_go_with_their_items) {
-  Compiled const c = compiled({partners});
+  CompiledConfiguration const c = compiled({partners});
   cr_assert_str_eq(c.tenant_of("k2")->name.c_str(), "ada");
   cr_assert_eq(*c.tenant_of("k1")->rank, 1);
   cr_assert(c.tenant_of("k4") == nullptr);
-  Compiled const d = compiled(
+  CompiledConfiguration const d = compiled(
       {partners,
        R"({"upsert":{"customers":[{"name":"ada","keys":["k2","k9"],"generation":"00000007"}]},"remove":{"customers":[{"name":"bob","generation":"00000006"}]}})"});
   cr_assert(d.tenant_of("k1") == nullptr, "taken away");
   cr_assert(d.tenant_of("k9") != nullptr);
   cr_assert(d.tenant_of("k3") == nullptr, "dropped with its partner");
   // A key passed on: the newer item holds it, whichever came first.
-  Compiled const e =
+  CompiledConfiguration const e =
       compiled({R"({"upsert":{"customers":[{"name":"bob","keys":["k1"],"generation":"00000008"}]}})", partners});
   cr_assert_str_eq(e.tenant_of("k1")->name.c_str(), "bob");
 }
@@ -186,14 +186,14 @@
 
 // A change put alone gives what the whole manifest compiled anew gives.
 Test(manifest, changes_put_one_by_one_equal_the_whole) {
-  std::map<std::string, Item> items;
-  Compiled c;
+  std::map<std::string, ConfigItem> items;
+  CompiledConfiguration c;
   u64 seed = 9;
   for (int i = 0; i < 400; ++i) {
     u64 const x = next64(seed);
-    Item it;
+    ConfigItem it;
     it.key = "r/r" + std::to_string(x % 17);
-    it.gen = Gen(1 + next64(seed) % 50);
+    it.gen = Generation(1 + next64(seed) % 50);
     it.gone = next64(seed) % 4 == 0;
     if (!it.gone)
       it.body = "{\"host\":\"h.example\",\"policy\":{\"name\":\"r" + std::to_string(x % 17) +
@@ -207,15 +207,15 @@
     else
       continue;
     c.put(it);
-    std::vector<Item> v;
+    std::vector<ConfigItem> v;
     for (auto const& [k, y] : items)
       v.push_back(y);
-    Compiled const whole = Compiled::from(v);
-    cr_assert_eq(c.lanes(), whole.lanes());
+    CompiledConfiguration const whole = CompiledConfiguration::from(v);
+    cr_assert_eq(c.routes(), whole.routes());
     cr_assert_eq(c.lowest_rank(), whole.lowest_rank());
     for (int p = 0; p < 6; ++p) {
       std::string const path = "/p" + std::to_string(p) + "/x/y";
-      LaneP const a = c.find("h.example", path), b = whole.find("h.example", path);
+      RoutePtr const a = c.find("h.example", path), b = whole.find("h.example", path);
       cr_assert_eq(a == nullptr, b == nullptr, "step %d", i);
       if (a) cr_assert(a->prefix == b->prefix && a->gen == b->gen, "step %d path %s", i, path.c_str());
     }
