--- a/tests/consensus/change_history_test.cpp
+++ b/tests/consensus/change_history_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 void leads(Node& n) {
-  n.prop = std::make_unique<Proposer>(n.ip, [&n](Ballot have, Ballot bal) {
-    return n.acc->state() && n.acc->state()->bal == bal ? n.acc->since(have) : std::nullopt;
+  n.prop = std::make_unique<Proposer>(n.ip, [&n](Ballot have, Ballot ballot) {
+    return n.acc->state() && n.acc->state()->ballot == ballot ? n.acc->since(have) : std::nullopt;
   });
 }
 // All that is under way, in an order drawn; what goes to `ip` is counted.
@@ -28,11 +28,11 @@
   }
   return bytes;
 }
-Acc acc_of(State const& from, State to, Ballot b, bool whole) {
-  to.bal = b;
-  Acc a;
-  a.bal = b;
-  a.life = Life(1);
+AcceptRequest acc_of(ReplicatedState const& from, ReplicatedState to, Ballot b, bool whole) {
+  to.ballot = b;
+  AcceptRequest a;
+  a.ballot = b;
+  a.incarnation = Incarnation(1);
   if (whole)
     a.state = codec::pack(to);
   else
@@ -48,48 +48,48 @@
   std::size_t known = 0;
   for (unsigned seed = 1; seed <= 150; ++seed) {
     std::mt19937 r(seed);
-    State s;
+    ReplicatedState s;
     for (int i = 0; i < 3; ++i)
-      s.roster.push_back(member(Net::name(i), Life(1)));
-    s.bal = Ballot(1);
-    Acceptor a(Life(1), Ballot(1), s);
-    std::vector<State> was{s};
+      s.membership.push_back(member(Net::name(i), Incarnation(1)));
+    s.ballot = Ballot(1);
+    Acceptor a(Incarnation(1), Ballot(1), s);
+    std::vector<ReplicatedState> was{s};
     for (u64 b = 2; b < 40; ++b) {
       // Mostly on top of the newest; sometimes of the one before it.
       bool const sibling = was.size() > 2 && r() % 8 == 0;
-      State to = sibling ? was[was.size() - 2] : was.back();
+      ReplicatedState to = sibling ? was[was.size() - 2] : was.back();
       switch (r() % 5) {
-        case 0: join_member(Net::name(static_cast<int>(r() % 5)), Life(1 + r() % 2))(to); break;
+        case 0: join_member(Net::name(static_cast<int>(r() % 5)), Incarnation(1 + r() % 2))(to); break;
         case 1:
           if (to.duties.empty())
-            to.duties.push_back(Term{"usage", "x", "", 1, 1, ""});
+            to.duties.push_back(Lease{"usage", "x", "", 1, 1, ""});
           else
             ++to.duties[0].counter;
           break;
         case 2:
           if (to.passes.empty()) {
-            Pass p;
+            DrainRun p;
             p.id = b;
-            p.state = PassState::running;
+            p.state = DrainRunState::running;
             to.passes.push_back(p);
             for (u32 i = 0; i < 3; ++i)
-              to.units.push_back(Unit{b, "u" + std::to_string(i), "", i, Stage::waiting, 0});
+              to.units.push_back(DrainUnit{b, "u" + std::to_string(i), "", i, DrainStage::waiting, 0});
           } else if (r() % 4 == 0) {
             to.passes.clear();
             to.units.clear();
           } else {
-            to.units[r() % 3].stage = static_cast<Stage>(r() % 6);
+            to.units[r() % 3].stage = static_cast<DrainStage>(r() % 6);
           }
           break;
         default: put_item("r/" + std::to_string(r() % 12), 1 + r() % 99, std::to_string(b))(to);
       }
-      AccR q;
+      AcceptResponse q;
       a.accept(acc_of(was.back(), to, Ballot(b), sibling || r() % 9 == 0), q);
       cr_assert(q.ok);
       was.push_back(*a.state());
     }
-    for (State x : was) {
-      auto const d = a.since(x.bal);
+    for (ReplicatedState x : was) {
+      auto const d = a.since(x.ballot);
       if (!d) continue;
       ++known;
       cr_assert(apply(x, *d));
@@ -108,9 +108,9 @@
     for (auto& [ip, x] : n.nodes)
       leads(x);
     std::string const a = Net::name(0), b = Net::name(1), gone = Net::name(2);
-    n.propose(a, [](State& s) {
+    n.propose(a, [](ReplicatedState& s) {
       for (int i = 0; i < 400; ++i)
-        s.items.push_back(Item{"r/" + std::to_string(1000 + i), Gen(1), false, std::string(200, 'x')});
+        s.items.push_back(ConfigItem{"r/" + std::to_string(1000 + i), Generation(1), false, std::string(200, 'x')});
       return true;
     });
     run_counting(n, gone);
@@ -129,12 +129,13 @@
       // Its first ballot is an old one and loses; with the next it reads what it missed.
       n.propose(seed % 2 == 0 && i < 2 ? gone : i % 2 == 0 ? a : b, put_item("r/new" + std::to_string(i), 1, "z"));
       bytes += run_counting(n, gone);
-      if (i == 1 || i == 2) cr_assert(n.nodes.at(gone).acc->state()->bal == n.history.back().bal, "seed %u", seed);
+      if (i == 1 || i == 2)
+        cr_assert(n.nodes.at(gone).acc->state()->ballot == n.history.back().ballot, "seed %u", seed);
     }
-    cr_assert(n.nodes.at(gone).acc->state()->bal == n.history.back().bal);
+    cr_assert(n.nodes.at(gone).acc->state()->ballot == n.history.back().ballot);
     cr_assert_geq(n.history.size(), before + 9);
     cr_assert_eq(n.history.back().items.size(), 400u + n.history.size() - before, "seed %u", seed);
-    for (Item const& i : n.history.back().items)
+    for (ConfigItem const& i : n.history.back().items)
       cr_assert(i.key >= "r/1050" || i.gen.v > 1, "seed %u: %s went back", seed, i.key.c_str());
     cr_assert_lt(bytes, whole / 2, "seed %u: %zu bytes for a value of %zu", seed, bytes, whole);
   }
@@ -146,53 +147,53 @@
 Test(changes, pieces_of_a_value_that_changes_make_it_whole) {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     std::mt19937 r(seed);
-    State s;
-    s.bal = Ballot(1);
-    s.roster.push_back(member(Net::name(0), Life(1)));
+    ReplicatedState s;
+    s.ballot = Ballot(1);
+    s.membership.push_back(member(Net::name(0), Incarnation(1)));
     for (int i = 0; i < 300; ++i)
-      s.items.push_back(Item{"r/" + std::to_string(1000 + i), Gen(1), false, std::string(100, 'x')});
-    Acceptor a(Life(1), Ballot(1), s);
-    Gather g;
-    std::optional<State> got;
+      s.items.push_back(ConfigItem{"r/" + std::to_string(1000 + i), Generation(1), false, std::string(100, 'x')});
+    Acceptor a(Incarnation(1), Ballot(1), s);
+    ChunkAssembler g;
+    std::optional<ReplicatedState> got;
     std::size_t pieces = 0;
     std::string last;
     for (u64 b = 2; !got; ++b) {
       cr_assert_lt(b, 400u, "seed %u: it never ends", seed);
       if (r() % 3 != 0) {
-        State to = *a.state();
+        ReplicatedState to = *a.state();
         put_item("r/" + std::to_string(900 + r() % 500), b, std::string(100, 'y'))(to);
-        AccR q;
+        AcceptResponse q;
         a.accept(acc_of(*a.state(), to, Ballot(b), false), q);
       }
       bool const other = seed % 4 == 0 && b == 20;
       auto const since = [&](Ballot x) { return other ? std::nullopt : a.since(x); };
-      Piece const p = piece_of(*a.state(), a.sum(), g.have(), g.after(), since, 2000);
+      StateChunk const p = piece_of(*a.state(), a.sum(), g.have(), g.after(), since, 2000);
       std::string const packed = codec::pack(p);
       cr_assert_lt(packed.size(), 8000u);
       ++pieces;
       if (r() % 5 == 0) continue;  // lost in a cut; asked for again
       if (!last.empty() && r() % 5 == 0) {
         std::string const had = g.after();
-        cr_assert_not(g.take(codec::unpack<Piece>(last)).used, "seed %u", seed);
+        cr_assert_not(g.take(codec::unpack<StateChunk>(last)).used, "seed %u", seed);
         cr_assert_str_eq(g.after().c_str(), had.c_str(), "seed %u", seed);
       }
       last = packed;
-      got = g.take(codec::unpack<Piece>(packed)).whole;
+      got = g.take(codec::unpack<StateChunk>(packed)).whole;
     }
     cr_assert(codec::pack(*got) == codec::pack(*a.state()), "seed %u", seed);
     cr_assert_gt(pieces, 15u);
-    Piece bad = piece_of(
+    StateChunk bad = piece_of(
         *a.state(), a.sum(), Ballot(), "", [](Ballot) { return std::nullopt; }, 1 << 20);
     bad.part.items[7].body[3] ^= 1;
-    cr_assert_not(Gather().take(bad).whole.has_value());
+    cr_assert_not(ChunkAssembler().take(bad).whole.has_value());
   }
 }
 
 // Patience grows with what a majority is to be sent, over the link as it was measured.
 Test(changes, a_round_waits_for_the_bytes_that_a_majority_is_sent) {
-  Patience p(1e6);
+  RoundTimeout p(1e6);
   std::vector<std::string> const others{"a", "b", "c", "d"};
-  Secs const idle = p.of(others);
+  Seconds const idle = p.of(others);
   cr_assert(idle > 1 && idle < 1.5);
   p.asked("a", 4000000, 0);
   cr_assert_float_eq(p.of(others), idle, 1e-9, "two of the others are enough");
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 // Every value won holds all that was won before it: nothing acknowledged is lost.
 void check_chain(Net const& n, unsigned seed) {
-  std::vector<State> h = n.history;
-  std::sort(h.begin(), h.end(), [](State const& a, State const& b) { return a.bal < b.bal; });
+  std::vector<ReplicatedState> h = n.history;
+  std::sort(h.begin(), h.end(), [](ReplicatedState const& a, ReplicatedState const& b) { return a.ballot < b.ballot; });
   for (std::size_t i = 1; i < h.size(); ++i) {
     auto const a = h[i - 1].by_key(), b = h[i].by_key();
     for (auto const& [k, it] : a) {
@@ -19,7 +19,7 @@
       cr_assert(b.at(k).gen >= it.gen, "seed %u: item %s went back", seed, k.c_str());
       cr_assert(b.at(k).gen > it.gen || b.at(k).body == it.body, "seed %u: two bodies under one generation", seed);
     }
-    for (Member const& m : h[i - 1].roster)
+    for (Member const& m : h[i - 1].membership)
       cr_assert(h[i].member(m.ip) != nullptr, "seed %u: member %s lost at %zu of %zu", seed, m.ip.c_str(), i, h.size());
   }
 }
@@ -30,7 +30,7 @@
   for (unsigned seed = 1; seed <= 300; ++seed) {
     Net n(seed, 3);
     for (int i = 3; i < 6; ++i)
-      n.add(i, Life(100 + static_cast<u64>(i)), true);
+      n.add(i, Incarnation(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 25; ++r) {
       for (int i = 0; i < 6; ++i) {
         Node& x = n.nodes.at(Net::name(i));
@@ -40,7 +40,7 @@
           x.prop->abandon();
         }
         if (i >= 3 && n.rnd() % 2 == 0)
-          n.propose(x.ip, join_member(x.ip, x.acc->life()));
+          n.propose(x.ip, join_member(x.ip, x.acc->incarnation()));
         else
           n.propose(x.ip, put_item("r/" + std::to_string(n.rnd() % 3), 1 + n.rnd() % 9, x.ip));
       }
@@ -56,13 +56,14 @@
 
 // Three joiners that came in before any was filled once waited for each other.
 Test(register_, disks_that_can_not_vote_wait_until_they_can_be_filled) {
-  State s{};
+  ReplicatedState s{};
   for (int i = 0; i < 3; ++i) {
-    Member m = member(Net::name(i), Life(1));
+    Member m = member(Net::name(i), Incarnation(1));
     m.whole = true;
-    s.roster.push_back(m);
+    s.membership.push_back(m);
   }
-  Member d = member(Net::name(3), Life(7)), e = member(Net::name(4), Life(8)), f = member(Net::name(5), Life(9));
+  Member d = member(Net::name(3), Incarnation(7)), e = member(Net::name(4), Incarnation(8)),
+         f = member(Net::name(5), Incarnation(9));
   cr_assert(s.admit(d));
   cr_assert(s.admit(e));
   cr_assert_not(s.admit(f), "3 whole disks of 6 are no majority");
@@ -71,7 +72,7 @@
   cr_assert(s.admit(d));
   cr_assert(s.admit(f));
   cr_assert_not(s.admit(f), "a member that has not changed is no change");
-  Member wiped = member(Net::name(0), Life(77));
+  Member wiped = member(Net::name(0), Incarnation(77));
   cr_assert_not(s.admit(wiped), "with it only 3 of 6 would be whole");
 }
 
@@ -79,14 +80,14 @@
   for (unsigned seed = 1; seed <= 200; ++seed) {
     Net n(seed, 3);
     for (int i = 3; i < 5; ++i)
-      n.add(i, Life(100 + static_cast<u64>(i)), true);
+      n.add(i, Incarnation(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 30; ++r) {
       std::string const ip = Net::name(static_cast<int>(n.rnd() % 5));
       Node& x = n.nodes.at(ip);
       if (x.best() != nullptr) {
         x.prop->abandon();
         if (n.rnd() % 3 == 0)
-          n.propose(ip, join_member(ip, x.acc->life()));
+          n.propose(ip, join_member(ip, x.acc->incarnation()));
         else
           n.propose(ip, put_item("r/" + std::to_string(n.rnd() % 4), 1 + n.rnd() % 9, ip + std::to_string(r)));
       }
@@ -107,7 +108,7 @@
 Test(register_, wiped_disk_votes_for_no_old_life) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     Net n(seed, 3);
-    u64 life = 1000;
+    u64 incarnation = 1000;
     for (int r = 0; r < 12; ++r) {
       std::string const ip = Net::name(static_cast<int>(n.rnd() % 3));
       Node& x = n.nodes.at(ip);
@@ -120,12 +121,12 @@
       }
       if (r == 5) {
         std::string const gone = Net::name(static_cast<int>(n.rnd() % 3));
-        n.wipe(gone, Life(++life));
+        n.wipe(gone, Incarnation(++incarnation));
         // The others answer it only once it has been taken in under its new life.
         for (auto& [a, b] : n.nodes)
           if (a != gone && b.best() != nullptr) {
             b.prop->abandon();
-            n.propose(a, join_member(gone, Life(life)));
+            n.propose(a, join_member(gone, Incarnation(incarnation)));
             break;
           }
         n.run();
@@ -138,14 +139,14 @@
 }
 
 Test(register_, a_vote_for_another_life_is_none) {
-  Acceptor a(Life(5), Ballot(), std::nullopt);
-  PrepR r{};
-  cr_assert_not(a.prepare(Prep{Ballot(9), Ballot(), Life(4)}, r).write);
+  Acceptor a(Incarnation(5), Ballot(), std::nullopt);
+  PrepareResponse r{};
+  cr_assert_not(a.prepare(PrepareRequest{Ballot(9), Ballot(), Incarnation(4)}, r).write);
   cr_assert_not(r.ok);
-  AccR q{};
-  Acc acc{};
-  acc.bal = Ballot(9);
-  acc.life = Life(4);
+  AcceptResponse q{};
+  AcceptRequest acc{};
+  acc.ballot = Ballot(9);
+  acc.incarnation = Incarnation(4);
   cr_assert_not(a.accept(acc, q).write);
   cr_assert_not(q.ok);
 }
@@ -188,9 +189,9 @@
 // Four members, a fifth joins: three of the new five are no majority of the old four.
 Test(register_, a_step_of_the_roster_needs_both_majorities) {
   Net n(1, 4);
-  n.add(4, Life(50), true);
+  n.add(4, Incarnation(50), true);
   std::string const e = Net::name(4);
-  n.propose(e, join_member(e, Life(50)));
+  n.propose(e, join_member(e, Incarnation(50)));
   Node& x = n.nodes.at(e);
   while (!n.bag.empty() && n.bag.front().what != 2) {
     Msg const m = n.bag.front();
@@ -231,11 +232,11 @@
   auto none = [](Msg const&) { return false; };
   for (bool const at_once : {true, false}) {
     Net n(1, 3);
-    n.add(3, Life(50), false);
-    n.add(4, Life(51), false);
-    auto const join_d = join_member(d, Life(50)), join_e = join_member(e, Life(51));
+    n.add(3, Incarnation(50), false);
+    n.add(4, Incarnation(51), false);
+    auto const join_d = join_member(d, Incarnation(50)), join_e = join_member(e, Incarnation(51));
     std::vector<Proposer::Change> steps{join_d, join_e};
-    if (at_once) steps = {[=](State& s) { return join_d(s) && join_e(s); }};
+    if (at_once) steps = {[=](ReplicatedState& s) { return join_d(s) && join_e(s); }};
     for (auto const& s : steps) {
       n.nodes.at(a).prop->abandon();
       n.propose(a, s);
--- a/tests/drain/proxy_drain_test.cpp
+++ b/tests/drain/proxy_drain_test.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-Order order_of(std::vector<std::pair<std::string, u32>> const& units, std::string const& id = "7",
-               double headroom = 0.2) {
-  Order o;
+DrainOrder order_of(std::vector<std::pair<std::string, u32>> const& units, std::string const& id = "7",
+                    double headroom = 0.2) {
+  DrainOrder o;
   o.id = id;
   o.headroom = headroom;
   o.patienceS = 60;
   for (auto const& [n, w] : units) {
-    OrderUnit u;
+    DrainOrderUnit u;
     u.name = u.node = n;
     u.wave = w;
     o.units.push_back(u);
@@ -32,35 +32,35 @@
 // worked out by the real parts; only time, clients and losses are drawn.
 struct Morning {
   struct Open {
-    Secs until = 0;
+    Seconds until = 0;
     int kind = 0;  // 0 read, 1 keyed, 2 upload
     u64 key = 0;
   };
   struct Proxy {
     std::string front, zone, region;
-    u64 life = 1;
-    Stage told = Stage::waiting;
+    u64 incarnation = 1;
+    DrainStage told = DrainStage::waiting;
     u64 told_life = 0;
-    Secs down_until = -1, told_at = 0, cordoned_at = -1, restart_at = -1;
+    Seconds down_until = -1, told_at = 0, cordoned_at = -1, restart_at = -1;
     std::vector<Open> open;
     double load = 0, came = 0;
-    bool up(Secs now) const { return now >= down_until; }
-    bool drains() const { return told >= Stage::draining && told_life == life; }
+    bool up(Seconds now) const { return now >= down_until; }
+    bool drains() const { return told >= DrainStage::draining && told_life == incarnation; }
   };
   struct Client {
     std::string zone, region;
     std::vector<std::size_t> list;
-    Secs asked = -100, keeps = 5;
+    Seconds asked = -100, keeps = 5;
   };
   struct Core {
-    Duty duty;
-    NodeDrainer drainer{NodePlan{}};
-    Secs down_until = -1, frozen_until = -1, cut_until = -1;
-    State known;
+    LeaseClient duty;
+    ProxyDrainPlanner drainer{ProxyDrainOptions{}};
+    Seconds down_until = -1, frozen_until = -1, cut_until = -1;
+    ReplicatedState known;
     bool held = false;
   };
   struct Later {
-    Secs at = 0;
+    Seconds at = 0;
     std::function<void()> f;
   };
 
@@ -82,22 +82,22 @@
           }
         }
     for (int i = 0; i < 3; ++i)
-      cores.push_back(Core{Duty("drain", "c" + std::to_string(i), "", DutyPlan{3, 0.4, 1.0}, 0)});
+      cores.push_back(Core{LeaseClient("drain", "c" + std::to_string(i), "", LeaseOptions{3, 0.4, 1.0}, 0)});
   }
   double u(double a, double b) { return std::uniform_real_distribution<>(a, b)(rnd); }
 
-  void later(Secs d, std::function<void()> f) { q.push_back({now + d, std::move(f)}); }
+  void later(Seconds d, std::function<void()> f) { q.push_back({now + d, std::move(f)}); }
 
   // Applied at once, or lost; answers come late, or not at all.
-  void submit(std::size_t i, std::function<bool(State&)> change, std::function<void(bool)> done) {
+  void submit(std::size_t i, std::function<bool(ReplicatedState&)> change, std::function<void(bool)> done) {
     if (now < cores[i].cut_until) return later(1.0, [done] { done(false); });
     auto const ok = std::make_shared<bool>(false);
     later(u(0.02, 0.3), [this, change, ok] {
-      State s = reg;
+      ReplicatedState s = reg;
       if (!change(s)) return;
       // As on the wire: what the others get is the difference.
-      Delta const d = delta_of(reg, s);
-      State t = reg;
+      StateDelta const d = delta_of(reg, s);
+      ReplicatedState t = reg;
       cr_assert(apply(t, d));
       cr_assert_eq(t.units.size(), s.units.size(), "the difference says it all");
       reg = t;
@@ -107,20 +107,20 @@
     later(mute ? 1.0 : u(0.35, 0.6), [done, ok, mute] { done(!mute && *ok); });
   }
 
-  std::vector<SeenNode> seen() const {
-    std::vector<SeenNode> v;
+  std::vector<ProxyObservation> seen() const {
+    std::vector<ProxyObservation> v;
     for (Proxy const& p : proxies) {
-      SeenNode n;
+      ProxyObservation n;
       n.front = p.front;
       n.zone = p.zone;
       n.region = p.region;
       n.ready = n.fresh = p.up(now);
       n.load = p.load;
-      Unit const* x = unit_of(reg, p.front);
-      if (x != nullptr && x->stage != Stage::waiting) {
-        n.life = p.life;
+      DrainUnit const* x = unit_of(reg, p.front);
+      if (x != nullptr && x->stage != DrainStage::waiting) {
+        n.incarnation = p.incarnation;
         n.cordoned_for = p.cordoned_at < 0 ? 0 : now - p.cordoned_at;
-        n.told = p.drains() || p.told == Stage::cordoned ? p.told : Stage::waiting;
+        n.told = p.drains() || p.told == DrainStage::cordoned ? p.told : DrainStage::waiting;
       }
       n.current = true;
       for (Open const& o : p.open) {
@@ -139,14 +139,14 @@
       c.known = reg;
       c.duty.seen(reg.term("drain"), now);
     }
-    if (Duty::Move const m = c.duty.step(now, true); m != Duty::Move::none) {
-      Duty::Ask const a = c.duty.ask(m, now);
-      Duty const was = c.duty;
-      u64 const life = lives[i];
+    if (LeaseClient::Action const m = c.duty.step(now, true); m != LeaseClient::Action::none) {
+      LeaseClient::Proposal const a = c.duty.ask(m, now);
+      LeaseClient const was = c.duty;
+      u64 const incarnation = lives[i];
       submit(
-          i, [was, a](State& s) { return was.apply(s, a); },
-          [this, i, a, life](bool ok) {
-            if (lives[i] == life) cores[i].duty.answered(a, ok, now);
+          i, [was, a](ReplicatedState& s) { return was.apply(s, a); },
+          [this, i, a, incarnation](bool ok) {
+            if (lives[i] == incarnation) cores[i].duty.answered(a, ok, now);
           });
     }
     if (!c.duty.may_act(now, 0)) {
@@ -154,12 +154,12 @@
       return;
     }
     if (std::fmod(now, 0.4) > 0.1) return;
-    Moves const mv = c.drainer.step(c.known, seen(), now);
+    DrainActions const mv = c.drainer.step(c.known, seen(), now);
     if (mv.empty()) return;
     u64 const fence = c.duty.fence();
     std::string const me = "c" + std::to_string(i);
-    auto const change = [mv, fence, me](State& s) {
-      Term const* t = s.term("drain");
+    auto const change = [mv, fence, me](ReplicatedState& s) {
+      Lease const* t = s.term("drain");
       return t != nullptr && t->fence == fence && t->holder == me && apply(s, mv);
     };
     submit(i, change, [](bool) {});
@@ -167,13 +167,13 @@
   }
 
   void resolve(Client& c) {
-    Catalog<NearSelector> cat(1e9);
+    Directory<NearestSelector> cat(1e9);
     std::set<std::string> cordoned;
-    for (Unit const& x : reg.units)
-      if (x.stage != Stage::waiting && x.stage != Stage::back) cordoned.insert(x.name);
+    for (DrainUnit const& x : reg.units)
+      if (x.stage != DrainStage::waiting && x.stage != DrainStage::back) cordoned.insert(x.name);
     std::map<std::string, std::size_t> ix;
     for (std::size_t i = 0; i < proxies.size(); ++i) {
-      Site s;
+      ProxyEntry s;
       s.front = proxies[i].front;
       s.zone = proxies[i].zone;
       s.region = proxies[i].region;
@@ -183,7 +183,7 @@
       cat.keep(s);
     }
     c.list.clear();
-    for (Site const* s : cat.resolve(Consumer{c.zone, c.region}, cordoned))
+    for (ProxyEntry const* s : cat.resolve(ClientContext{c.zone, c.region}, cordoned))
       c.list.push_back(ix[s->front]);
     c.asked = now;
   }
@@ -208,7 +208,7 @@
   }
 
   void step() {
-    Secs const dt = 0.1;
+    Seconds const dt = 0.1;
     now += dt;
     for (std::size_t k = 0; k < q.size();) {
       if (q[k].at > now) {
@@ -235,18 +235,18 @@
       }
       if (now - p.told_at > 0.6) {  // its keepalive's answer
         p.told_at = now;
-        Unit const* x = unit_of(reg, p.front);
-        if (x != nullptr && x->stage == Stage::back) x = nullptr;
-        p.told = x == nullptr ? Stage::waiting : x->stage;
-        if (p.told == Stage::waiting)
+        DrainUnit const* x = unit_of(reg, p.front);
+        if (x != nullptr && x->stage == DrainStage::back) x = nullptr;
+        p.told = x == nullptr ? DrainStage::waiting : x->stage;
+        if (p.told == DrainStage::waiting)
           p.cordoned_at = -1;
         else if (p.cordoned_at < 0)
           p.cordoned_at = now;
-        p.told_life = x == nullptr ? 0 : x->life;
+        p.told_life = x == nullptr ? 0 : x->incarnation;
       }
       // The operator restarts what is empty.
-      Unit const* x = unit_of(reg, p.front);
-      if (x != nullptr && x->stage == Stage::empty && x->life == p.life && p.restart_at < 0)
+      DrainUnit const* x = unit_of(reg, p.front);
+      if (x != nullptr && x->stage == DrainStage::empty && x->incarnation == p.incarnation && p.restart_at < 0)
         p.restart_at = now + u(0.3, 2);
       if (p.restart_at >= 0 && now >= p.restart_at) {
         for (Open const& o : p.open)
@@ -256,25 +256,25 @@
       }
     }
   }
-  void restart(Proxy& p, Secs down) {
+  void restart(Proxy& p, Seconds down) {
     p.open.clear();
-    ++p.life;
+    ++p.incarnation;
     p.down_until = now + down;
-    p.told = Stage::waiting;
+    p.told = DrainStage::waiting;
     p.cordoned_at = -1;
   }
-  std::map<std::string, RegionRoom> rooms() const {
-    return room(seen(), [&](SeenNode const& n) {
-      Unit const* x = unit_of(reg, n.front);
-      return x != nullptr && x->stage != Stage::waiting && x->stage != Stage::back;
+  std::map<std::string, RegionCapacity> rooms() const {
+    return room(seen(), [&](ProxyObservation const& n) {
+      DrainUnit const* x = unit_of(reg, n.front);
+      return x != nullptr && x->stage != DrainStage::waiting && x->stage != DrainStage::back;
     });
   }
-  Pass const& pass() const { return reg.passes.front(); }
+  DrainRun const& pass() const { return reg.passes.front(); }
 
   std::mt19937 rnd;
   double demand, surge = 1;
-  Secs now = 0;
-  State reg;
+  Seconds now = 0;
+  ReplicatedState reg;
   std::vector<Proxy> proxies;
   std::vector<Client> clients;
   std::vector<Core> cores;
@@ -284,7 +284,7 @@
   u64 keys = 0, unserved = 0, cut = 0;
 };
 
-Order whole_order(Morning const& m) {
+DrainOrder whole_order(Morning const& m) {
   std::vector<std::pair<std::string, u32>> units;
   for (std::size_t i = 0; i < m.proxies.size(); ++i)
     units.emplace_back(m.proxies[i].front, static_cast<u32>(i % 4));
@@ -306,8 +306,8 @@
       m.step();
     begin_pass(m);
     std::set<std::string> restarted;
-    Secs blow = m.now + 5, short_since = -1, loss = m.now + m.u(2, 60);
-    while (m.pass().state == PassState::running && m.now < 900) {
+    Seconds blow = m.now + 5, short_since = -1, loss = m.now + m.u(2, 60);
+    while (m.pass().state == DrainRunState::running && m.now < 900) {
       m.step();
       for (auto const& [g, r] : m.rooms()) {
         short_since = r.nodes == 0 || r.load > 1 ? (short_since < 0 ? m.now : short_since) : -1;
@@ -328,7 +328,8 @@
         if (m.cores[k].duty.holds() && m.u(0, 1) < 0.8) i = k;
       switch (m.rnd() % 3) {
         case 0:
-          m.cores[i] = Morning::Core{Duty("drain", "c" + std::to_string(i), "", DutyPlan{3, 0.4, 1.0}, m.now)};
+          m.cores[i] =
+              Morning::Core{LeaseClient("drain", "c" + std::to_string(i), "", LeaseOptions{3, 0.4, 1.0}, m.now)};
           m.cores[i].down_until = m.now + m.u(0.5, 3);
           ++m.lives[i];
           break;
@@ -336,11 +337,11 @@
         default: m.cores[i].cut_until = m.now + m.u(0.5, 6); break;
       }
     }
-    cr_assert(m.pass().state == PassState::done, "seed %u: at %.0f s %u of %u are back: %s", seed, m.now, m.pass().back,
-              m.pass().total, m.pass().why.c_str());
+    cr_assert(m.pass().state == DrainRunState::done, "seed %u: at %.0f s %u of %u are back: %s", seed, m.now,
+              m.pass().back, m.pass().total, m.pass().why.c_str());
     cr_assert(m.reg.units.empty());
     for (auto const& p : m.proxies)
-      cr_assert_geq(p.life, 2, "seed %u: %s was restarted", seed, p.front.c_str());
+      cr_assert_geq(p.incarnation, 2, "seed %u: %s was restarted", seed, p.front.c_str());
     cr_assert_eq(m.cut, 0, "seed %u: %llu cut", seed, static_cast<unsigned long long>(m.cut));
     cr_assert_eq(m.unserved, 0, "seed %u: %llu unserved", seed, static_cast<unsigned long long>(m.unserved));
     cr_assert_gt(m.runs.size(), 1000u);
@@ -358,32 +359,32 @@
     for (int i = 0; i < 100; ++i)
       m.step();
     begin_pass(m);
-    Secs const at = m.now + m.u(5, 14), end = at + 40;
+    Seconds const at = m.now + m.u(5, 14), end = at + 40;
     bool const surge = seed % 2 == 0;
-    Secs real_since = -1;
+    Seconds real_since = -1;
     bool said = false, taken_back = false;
-    std::map<std::string, Stage> was;
-    while (m.pass().state == PassState::running && m.now < 900) {
+    std::map<std::string, DrainStage> was;
+    while (m.pass().state == DrainRunState::running && m.now < 900) {
       m.step();
       if (surge)
         m.surge = m.now > at && m.now < end ? 1.9 : 1;
       else
         for (auto& p : m.proxies)
           if (p.zone == "n0" && m.now > at && m.now < at + 0.15) m.restart(p, end - at);
-      RegionRoom const r = m.rooms().at("north");
+      RegionCapacity const r = m.rooms().at("north");
       real_since = is_short(r, 0.2) ? (real_since < 0 ? m.now : real_since) : -1;
       std::size_t out = 0;
-      for (Unit const& x : m.reg.units) {
+      for (DrainUnit const& x : m.reg.units) {
         bool const north = x.name[0] == 'n', mine = x.name.substr(0, 2) != "n0";
-        out += north && mine && (x.stage == Stage::cordoned || x.stage == Stage::draining) ? 1 : 0;
-        taken_back = taken_back || (was[x.name] != Stage::waiting && x.stage == Stage::waiting);
+        out += north && mine && (x.stage == DrainStage::cordoned || x.stage == DrainStage::draining) ? 1 : 0;
+        taken_back = taken_back || (was[x.name] != DrainStage::waiting && x.stage == DrainStage::waiting);
         was[x.name] = x.stage;
       }
       if (real_since >= 0 && m.now - real_since > 6)
         cr_assert_eq(out, 0, "seed %u: %zu still out at %.1f, %u nodes at %.2f", seed, out, m.now, r.nodes, r.load);
       said = said || m.pass().why.find("region ") == 0;
     }
-    cr_assert(m.pass().state == PassState::done, "seed %u: %u of %u back: %s", seed, m.pass().back, m.pass().total,
+    cr_assert(m.pass().state == DrainRunState::done, "seed %u: %u of %u back: %s", seed, m.pass().back, m.pass().total,
               m.pass().why.c_str());
     cr_assert(said || !taken_back, "seed %u: who is taken back is told why", seed);
     days_taken_back += taken_back ? 1 : 0;
@@ -395,7 +396,7 @@
 }
 
 Test(drain, orders_repeat_overlap_and_end) {
-  State s;
+  ReplicatedState s;
   u64 id = 0;
   cr_assert(start(s, order_of({{"a", 0}, {"b", 1}}), id));
   cr_assert_not(start(s, order_of({{"a", 0}, {"b", 1}}), id), "the same call again");
@@ -404,7 +405,7 @@
   try {
     start(s, order_of({{"b", 0}, {"c", 0}}, "10"), id);
     cr_assert_fail("it overlaps");
-  } catch (OrderFault const& e) {
+  } catch (DrainOrderError const& e) {
     cr_assert_eq(e.code, 409);
     cr_assert_str_eq(e.what(), "b: already in pass 7");
   }
@@ -415,41 +416,41 @@
     try {
       check(o);
       cr_assert_fail("%s", why);
-    } catch (OrderFault const& e) {
+    } catch (DrainOrderError const& e) {
       cr_assert_str_eq(e.what(), why);
     }
   }
-  Moves m;
-  m.moves.push_back(Move{7, "a", Stage::waiting, Stage::cordoned, 5});
-  cr_assert(command(s, 7, PassOrder::pause));
+  DrainActions m;
+  m.moves.push_back(StageTransition{7, "a", DrainStage::waiting, DrainStage::cordoned, 5});
+  cr_assert(command(s, 7, DrainCommand::pause));
   cr_assert_not(apply(s, m), "nothing is begun in a pause");
-  cr_assert(command(s, 7, PassOrder::resume));
+  cr_assert(command(s, 7, DrainCommand::resume));
   cr_assert(apply(s, m));
   cr_assert_not(apply(s, m), "a step has its effect once");
-  cr_assert(command(s, 7, PassOrder::abort));
+  cr_assert(command(s, 7, DrainCommand::abort));
   cr_assert(s.units.empty(), "who was out is named again");
-  cr_assert_not(command(s, 7, PassOrder::abort));
+  cr_assert_not(command(s, 7, DrainCommand::abort));
   cr_assert_not(apply(s, m));
 }
 
 // Who began anew under way is drained in its new life; a word of the old one counts no more.
 Test(drain, emptiness_is_of_the_life_that_is_drained) {
-  State s;
+  ReplicatedState s;
   u64 id = 0;
   start(s, order_of({{"a", 0}}), id);
-  s.units[0].stage = Stage::draining;
-  s.units[0].life = 1;
-  NodeDrainer d{NodePlan{}};
-  SeenNode n, other;
+  s.units[0].stage = DrainStage::draining;
+  s.units[0].incarnation = 1;
+  ProxyDrainPlanner d{ProxyDrainOptions{}};
+  ProxyObservation n, other;
   n.front = "a";
   other.front = "b";
   n.region = other.region = "r";
   n.ready = n.fresh = other.ready = other.fresh = true;
-  n.told = Stage::draining;
-  n.life = 2;
-  Moves m = d.step(s, {n, other}, 10);
+  n.told = DrainStage::draining;
+  n.incarnation = 2;
+  DrainActions m = d.step(s, {n, other}, 10);
   cr_assert_eq(m.moves.size(), 1u);
-  cr_assert(m.moves[0].to == Stage::draining && m.moves[0].life == 2);
+  cr_assert(m.moves[0].to == DrainStage::draining && m.moves[0].incarnation == 2);
   apply(s, m);
   n.uploads = 1;
   cr_assert(d.step(s, {n, other}, 11).moves.empty());
@@ -460,25 +461,25 @@
   n.fresh = true;
   cr_assert(d.step(s, {n, other}, 14).moves.empty());
   m = d.step(s, {n, other}, 15);
-  cr_assert(m.moves.size() == 1 && m.moves[0].to == Stage::empty);
+  cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::empty);
   apply(s, m);
   cr_assert(d.step(s, {n, other}, 16).moves.empty(), "the old life is not back");
-  n.life = 3;
+  n.incarnation = 3;
   n.current = false;
   cr_assert(d.step(s, {n, other}, 17).moves.empty(), "nor is one that lacks the configuration in force");
   n.current = true;
   m = d.step(s, {n, other}, 18);
-  cr_assert(m.moves.size() == 1 && m.moves[0].to == Stage::back);
+  cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::back);
 }
 
 // Who is dark before its turn holds nobody up, and has its turn once it is seen again; who went
 // dark under way is waited for.
 Test(drain, a_dark_node_holds_up_only_what_it_may_hold) {
-  State s;
+  ReplicatedState s;
   u64 id = 0;
   start(s, order_of({{"a", 0}, {"b", 1}}), id);
-  NodeDrainer d{NodePlan{}};
-  std::vector<SeenNode> v(4);
+  ProxyDrainPlanner d{ProxyDrainOptions{}};
+  std::vector<ProxyObservation> v(4);
   char const* const names[] = {"a", "b", "c", "d"};
   for (std::size_t i = 0; i < 4; ++i) {
     v[i].front = names[i];
@@ -486,7 +487,7 @@
     v[i].ready = v[i].fresh = true;
   }
   v[0].ready = v[0].fresh = false;
-  Moves m = d.step(s, v, 10);
+  DrainActions m = d.step(s, v, 10);
   cr_assert(m.moves.size() == 1 && m.moves[0].name == "b");
   apply(s, m);
   v[0].ready = v[0].fresh = true;
@@ -494,8 +495,8 @@
   cr_assert(m.moves.size() == 1 && m.moves[0].name == "a", "seen again");
   apply(s, m);
   v[0].fresh = false;
-  v[1].life = 4;
-  v[1].told = Stage::cordoned;
+  v[1].incarnation = 4;
+  v[1].told = DrainStage::cordoned;
   v[1].cordoned_for = 16;
   cr_assert(d.step(s, v, 30).moves.empty(), "a is under way and comes before b");
 }
@@ -503,40 +504,40 @@
 // What a proxy says of itself: nothing unasked, nothing of another life, and an answer that may
 // not be on disk yet counts as open.
 Test(drain, a_proxy_drains_in_the_life_that_is_meant) {
-  Leaver l(7);
+  ProxyDrainState l(7);
   cr_assert_eq(l.word(3, 2, 1).keyed, 0, "unasked it says nothing");
-  DrainSaid d;
-  d.stage = static_cast<u32>(Stage::cordoned);
+  DrainInstruction d;
+  d.stage = static_cast<u32>(DrainStage::cordoned);
   cr_assert_not(l.told(d, 10));
-  cr_assert_eq(l.word(3, 2, 14).stage, static_cast<u32>(Stage::cordoned));
+  cr_assert_eq(l.word(3, 2, 14).stage, static_cast<u32>(DrainStage::cordoned));
   cr_assert_float_eq(l.word(3, 2, 14).since, 4, 1e-9);
-  d.stage = static_cast<u32>(Stage::draining);
-  d.life = 6;
+  d.stage = static_cast<u32>(DrainStage::draining);
+  d.incarnation = 6;
   cr_assert_not(l.told(d, 20), "another life is meant");
   cr_assert_eq(l.word(0, 0, 21).stage, 0, "it does not pass for the one that is meant");
-  d.life = 7;
+  d.incarnation = 7;
   cr_assert(l.told(d, 22));
   l.answered(23);
   cr_assert_eq(l.word(1, 0, 24).keyed, 2);
   cr_assert_eq(l.word(0, 0, 24.6).keyed, 0);
   cr_assert_float_eq(l.word(0, 0, 25).since, 15, 1e-9, "counted from the first word");
-  cr_assert(l.told(DrainSaid{}, 26), "called off");
-  d.stage = static_cast<u32>(Stage::cordoned);
+  cr_assert(l.told(DrainInstruction{}, 26), "called off");
+  d.stage = static_cast<u32>(DrainStage::cordoned);
   l.told(d, 30);
   cr_assert_float_eq(l.word(0, 0, 31).since, 1, 1e-9, "and counted anew");
 }
 
 namespace {
-Capture halls(int per_zone, double load) {
-  Capture c;
+FleetSnapshot halls(int per_zone, double load) {
+  FleetSnapshot c;
   c.settled = true;
   for (auto const& [z, g] : {std::pair{"n1", "north"}, {"n2", "north"}, {"s1", "south"}}) {
-    CapZone x;
+    ZoneSnapshot x;
     x.zone = z;
     x.region = g;
     c.zones.push_back(x);
     for (int i = 0; i < per_zone; ++i) {
-      CapSite s;
+      ProxySnapshot s;
       s.front = std::string(z) + ":" + std::to_string(i);
       s.node = std::string("edge-") + z + "-" + std::to_string(i);
       s.zone = z;
@@ -544,36 +545,36 @@
       s.ready = true;
       s.load = load;
       c.sites.push_back(s);
-      Survey v;
+      TrafficSurvey v;
       v.front = s.front;
-      LaneRate l;
-      l.lane = "read";
+      RouteRate l;
+      l.route = "read";
       l.rate = 30 * load;
-      v.lanes.push_back(l);
-      l.lane = "pay";
+      v.routes.push_back(l);
+      l.route = "pay";
       l.rate = 10 * load;
-      v.lanes.push_back(l);
+      v.routes.push_back(l);
       c.surveys.push_back(v);
     }
   }
   for (auto const& [n, k, r] : {std::tuple{"read", "idempotent", 2u}, {"pay", "keyed", 1u}}) {
-    CapLane l;
+    RouteSnapshot l;
     l.name = n;
     l.kind = k;
     l.rank = r;
-    c.lanes.push_back(l);
+    c.routes.push_back(l);
   }
   return c;
 }
 }  // namespace
 
 Test(drain, waves_keep_the_headroom_and_cover_all) {
-  Capture const c = halls(8, 0.4);
+  FleetSnapshot const c = halls(8, 0.4);
   auto const fronts = nodes_named(c, {"north", "south"});
-  WavePlan const p = plan_waves(c, fronts, 0.2);
+  DrainWavePlan const p = plan_waves(c, fronts, 0.2);
   cr_assert(p.fits);
   std::set<std::string> all;
-  for (Wave const& w : p.waves) {
+  for (DrainWave const& w : p.waves) {
     for (auto const& f : w.fronts)
       cr_assert(all.insert(f).second, "each once");
     for (auto const& r : w.regions) {
@@ -589,14 +590,14 @@
   }
   cr_assert_eq(all.size(), 24u);
   cr_assert_leq(p.waves.size(), 5u, "%zu waves", p.waves.size());
-  WavePlan const tight = plan_waves(halls(2, 0.75), nodes_named(c, {"s1:0"}), 0.2);
+  DrainWavePlan const tight = plan_waves(halls(2, 0.75), nodes_named(c, {"s1:0"}), 0.2);
   cr_assert_not(tight.fits);
   cr_assert_str_eq(tight.lacks.at(0).region.c_str(), "south");
   cr_assert_str_eq(tight.lacks.at(0).kind.c_str(), "idempotent", "what matters less goes first");
 }
 
 Test(drain, names_are_found_or_said) {
-  Capture const c = halls(2, 0.2);
+  FleetSnapshot const c = halls(2, 0.2);
   cr_assert_eq(nodes_named(c, {"n1", "edge-s1-0"}).size(), 3u);
   for (auto const& [names, why] :
        {std::pair<std::vector<std::string>, char const*>{{"n1", "edge-n1-0"}, "n1:0: named twice"},
@@ -604,7 +605,7 @@
     try {
       nodes_named(c, names);
       cr_assert_fail("%s", why);
-    } catch (OrderFault const& e) {
+    } catch (DrainOrderError const& e) {
       cr_assert_str_eq(e.what(), why);
     }
   }
@@ -612,8 +613,8 @@
 
 // Other regions hear of changes only, and that the rest stands.
 Test(catalog, what_a_mate_vouches_for_lives_and_differences_show) {
-  Catalog<NearSelector> c(1.9);
-  Site s;
+  Directory<NearestSelector> c(1.9);
+  ProxyEntry s;
   s.zone = "z";
   s.region = "r";
   s.ready = true;
@@ -635,7 +636,7 @@
   s.heard = 5;
   c.keep(s);
   cr_assert_eq(c.alive("m", 5.5), hash64("b"), "what registered here is not vouched for by others");
-  auto const l = c.resolve(Consumer{"z", "r"}, {"a"});
+  auto const l = c.resolve(ClientContext{"z", "r"}, {"a"});
   cr_assert(l.size() == 1 && l[0]->front == "b", "a cordoned site is not named");
-  cr_assert_eq(c.resolve(Consumer{"z", "r"}, {"a", "b"}).size(), 2u, "unless there is nobody else");
+  cr_assert_eq(c.resolve(ClientContext{"z", "r"}, {"a", "b"}).size(), 2u, "unless there is nobody else");
 }
--- a/tests/drain/server_drain_test.cpp
+++ b/tests/drain/server_drain_test.cpp
@@ -14,21 +14,21 @@
 // tell once a second what they hold. The operator ends what is empty; another comes in its place.
 struct Day {
   struct Work {
-    Secs until = 0;
+    Seconds until = 0;
     int kind = 0;  // 0 read, 1 keyed, 2 upload
     std::size_t proxy = 0;
-    Secs began = 0;
+    Seconds began = 0;
   };
   struct Server {
     std::string id, zone, region;
     double speed = 1;
     bool there = true, lost = false;
-    Secs end_at = -1;
+    Seconds end_at = -1;
     std::vector<Work> work;
   };
   struct Report {
-    Secs at = -1e9;
-    std::map<std::string, Held> held;
+    Seconds at = -1e9;
+    std::map<std::string, OpenWork> held;
   };
 
   explicit Day(unsigned seed, bool random) : rnd(seed), random_order(random) {
@@ -59,21 +59,21 @@
     if (best == nullptr) return;
     double const x = u(0, 1);
     int const kind = x < 0.7 ? 0 : x < 1 - long_uploads ? 1 : 2;
-    Secs const d = (kind == 0   ? u(0.2, 2)
-                    : kind == 1 ? u(0.5, 4)
-                                : std::min(900.0, -120 * std::log(u(0.001, 1)))) /
-                   best->speed;
+    Seconds const d = (kind == 0   ? u(0.2, 2)
+                       : kind == 1 ? u(0.5, 4)
+                                   : std::min(900.0, -120 * std::log(u(0.001, 1)))) /
+                      best->speed;
     best->work.push_back(Work{now + d, kind, rnd() % 6, now});
     if (kind == 1) ++keyed;
     if (unit_of(reg, best->id) != nullptr && drained(*best)) ++late;
   }
-  std::vector<SeenServer> seen() {
+  std::vector<ServerObservation> seen() {
     bool all = true;
-    std::map<std::string, Held> sum;
+    std::map<std::string, OpenWork> sum;
     for (std::size_t p = 0; p < reports.size(); ++p) {
       all = all && now - reports[p].at < 2.5;
       for (auto const& [id, h] : reports[p].held) {
-        Held& t = sum[id];
+        OpenWork& t = sum[id];
         t.uploads += h.uploads;
         t.bytes += h.bytes;
         t.age = std::max(t.age, h.age);
@@ -81,10 +81,10 @@
         t.sessions += h.sessions;
       }
     }
-    std::vector<SeenServer> v;
+    std::vector<ServerObservation> v;
     for (Server const& s : servers) {
       if (!s.there) continue;
-      SeenServer x;
+      ServerObservation x;
       x.id = s.id;
       x.service = "svc";
       x.zone = s.zone;
@@ -117,7 +117,7 @@
       for (Server const& s : servers)
         for (Work const& w : s.work) {
           if (w.proxy != p) continue;
-          Held& h = r.held[s.id];
+          OpenWork& h = r.held[s.id];
           ++h.sessions;
           h.keyed += w.kind == 1 ? 1 : 0;
           h.uploads += w.kind == 2 ? 1 : 0;
@@ -138,19 +138,19 @@
         news.push_back({now + 60, s.region});
       }
     }
-    Moves const m = drainer.step(reg, seen(), now);
+    DrainActions const m = drainer.step(reg, seen(), now);
     if (u(0, 1) < 0.9) apply(reg, m);  // or the register did not answer in time
     if (u(0, 1) < 0.1) apply(reg, m);
     std::size_t out = 0;
-    for (Unit const& x : reg.units)
-      if (x.stage == Stage::draining || x.stage == Stage::empty) told.try_emplace(x.name, now);
+    for (DrainUnit const& x : reg.units)
+      if (x.stage == DrainStage::draining || x.stage == DrainStage::empty) told.try_emplace(x.name, now);
     for (Server& s : servers) {
       if (!s.there) continue;
-      Unit const* x = unit_of(reg, s.id);
-      bool const leaving = x != nullptr && (x->stage == Stage::draining || x->stage == Stage::empty);
+      DrainUnit const* x = unit_of(reg, s.id);
+      bool const leaving = x != nullptr && (x->stage == DrainStage::draining || x->stage == DrainStage::empty);
       out += leaving ? 1 : 0;
       out_s += leaving ? 1 : 0;
-      if (x != nullptr && x->stage == Stage::empty && s.end_at < 0) s.end_at = now + u(5, 30);
+      if (x != nullptr && x->stage == DrainStage::empty && s.end_at < 0) s.end_at = now + u(5, 30);
       if (s.end_at >= 0 && now >= s.end_at) {
         for (Work const& w : s.work) {
           broken += 1;
@@ -180,21 +180,21 @@
   std::mt19937 rnd;
   bool random_order;
   double long_uploads = 0.006;  // share of requests; where every server always holds some, no order is better
-  Secs now = 100;
+  Seconds now = 100;
   int made = 0;
-  State reg;
+  ReplicatedState reg;
   std::vector<Server> servers;
   std::vector<Report> reports{6};
-  std::vector<Secs> silent_until = std::vector<Secs>(6, -1);
-  std::map<std::string, Secs> told;
-  std::vector<std::pair<Secs, std::string>> news;
-  ServerDrainer drainer{ServerPlan{}};
+  std::vector<Seconds> silent_until = std::vector<Seconds>(6, -1);
+  std::map<std::string, Seconds> told;
+  std::vector<std::pair<Seconds, std::string>> news;
+  ServerDrainPlanner drainer{ServerDrainOptions{}};
   std::size_t broken = 0, uploads_cut = 0, late = 0, keyed = 0, fewest = 99, most_out = 0;
   double out_s = 0;
 };
 
 void begin_rotation(Day& d, u32 most) {
-  Order o;
+  DrainOrder o;
   o.id = "5";
   o.servers = true;
   o.headroom = 0.2;
@@ -202,12 +202,12 @@
   o.patienceS = 120;
   o.replaced = true;
   for (auto const& s : d.servers) {
-    OrderUnit x;
+    DrainOrderUnit x;
     x.name = s.id;
     x.node = "svc";
     o.units.push_back(x);
   }
-  Had h;
+  InitialServerCount h;
   h.service = "svc";
   h.n = static_cast<u32>(d.servers.size());
   o.had.push_back(h);
@@ -226,9 +226,9 @@
       for (int i = 0; i < 300; ++i)
         d.step();
       begin_rotation(d, 2);
-      while (d.reg.passes[0].state == PassState::running && d.now < 36000)
+      while (d.reg.passes[0].state == DrainRunState::running && d.now < 36000)
         d.step();
-      cr_assert(d.reg.passes[0].state == PassState::done, "seed %u: %u of %u: %s", seed, d.reg.passes[0].back,
+      cr_assert(d.reg.passes[0].state == DrainRunState::done, "seed %u: %u of %u: %s", seed, d.reg.passes[0].back,
                 d.reg.passes[0].total, d.reg.passes[0].why.c_str());
       for (auto const& s : d.servers)
         cr_assert(s.id.rfind("new-", 0) == 0, "seed %u: %s is still there", seed, s.id.c_str());
@@ -244,21 +244,21 @@
 // What is asked of every proxy each second does not grow with the servers of a pass, and
 // yet each gets its turn.
 Test(rotation, few_are_asked_about_at_once) {
-  State s;
-  Order o;
+  ReplicatedState s;
+  DrainOrder o;
   o.id = "4";
   o.servers = true;
   o.maxUnavailable = 1;
   o.patienceS = 1;
   for (int i = 0; i < 500; ++i) {
-    OrderUnit u;
+    DrainOrderUnit u;
     u.name = "s" + std::to_string(i);
     o.units.push_back(u);
   }
   u64 id = 0;
   start(s, o, id);
-  s.units[77].stage = Stage::draining;
-  ServerDrainer d{ServerPlan{}};
+  s.units[77].stage = DrainStage::draining;
+  ServerDrainPlanner d{ServerDrainOptions{}};
   std::set<std::string> all;
   for (int k = 0; k < 70; ++k) {
     auto const v = d.interest(s);
@@ -272,8 +272,8 @@
 // A lost server takes its place out of those that may be out; a report that is missing
 // counts as busy; nobody leaves for whom there is no room.
 Test(rotation, losses_silence_and_want_of_room_hold_it) {
-  State s;
-  Order o;
+  ReplicatedState s;
+  DrainOrder o;
   o.id = "3";
   o.servers = true;
   o.headroom = 0.2;
@@ -281,18 +281,18 @@
   o.patienceS = 60;
   o.replaced = true;
   for (char const* n : {"a", "b"}) {
-    OrderUnit x;
+    DrainOrderUnit x;
     x.name = n;
     x.node = "svc";
     o.units.push_back(x);
   }
-  Had h;
+  InitialServerCount h;
   h.service = "svc";
   h.n = 4;
   o.had.push_back(h);
   u64 id = 0;
   cr_assert(start(s, o, id));
-  std::vector<SeenServer> v(4);
+  std::vector<ServerObservation> v(4);
   char const* const names[] = {"a", "b", "c", "d"};
   for (std::size_t i = 0; i < 4; ++i) {
     v[i].id = names[i];
@@ -301,13 +301,13 @@
     v[i].present = v[i].ready = v[i].told = true;
     v[i].slots = 4;
   }
-  ServerDrainer d{ServerPlan{}};
+  ServerDrainPlanner d{ServerDrainOptions{}};
   v[3].present = false;
   cr_assert(d.step(s, v, 10).moves.empty(), "one is lost, and one may be out");
   v[3].present = true;
   for (auto& x : v)
     x.held.sessions = 3;
-  Moves m = d.step(s, v, 11);
+  DrainActions m = d.step(s, v, 11);
   cr_assert(m.moves.empty(), "12 of 12 slots would be in use");
   cr_assert(m.words.at(0).why.find("svc in r") == 0, "%s", m.words[0].why.c_str());
   for (auto& x : v)
@@ -318,7 +318,7 @@
   cr_assert(m.moves.size() == 1 && m.moves[0].name == "b", "who holds a long upload goes last");
   apply(s, m);
   v[1].ready = false;
-  v[1].held = Held{};
+  v[1].held = OpenWork{};
   for (int t = 13; t < 20; ++t) {
     m = d.step(s, v, t);
     cr_assert_eq(m.moves.size(), t >= 17 ? 1u : 0u, "at %d: not before the news has spread", t);
@@ -329,11 +329,11 @@
       cr_assert(d.step(s, v, 16.6).moves.empty());
       cr_assert(d.step(s, v, 17.0).moves.empty(), "it has to be said twice");
       m = d.step(s, v, 17.5);
-      cr_assert(m.moves.size() == 1 && m.moves[0].to == Stage::empty);
+      cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::empty);
       break;
     }
   }
   apply(s, m);
-  cr_assert(command(s, 3, PassOrder::take_back, "b"));
+  cr_assert(command(s, 3, DrainCommand::take_back, "b"));
   cr_assert(s.passes[0].back == 1);
 }
--- a/tests/golden/golden_store_test.cpp
+++ b/tests/golden/golden_store_test.cpp
@@ -29,8 +29,8 @@
 };
 
 // A value with every field of every list set; a drain with its units is among them.
-State whole_value() {
-  State value = filled<State>();
+ReplicatedState whole_value() {
+  ReplicatedState value = filled<ReplicatedState>();
   value.items[0].key = "r/route-1";
   value.items[1].key = "s/service-1";
   value.duties[0].duty = "drain";
@@ -39,40 +39,40 @@
     value.units[i].pass = value.passes[0].id;
   return value;
 }
-State founding_value() {
-  State value;
-  value.roster.push_back(filled<Member>());
+ReplicatedState founding_value() {
+  ReplicatedState value;
+  value.membership.push_back(filled<Member>());
   return value;
 }
-Life constexpr kLife{77};
+Incarnation constexpr kLife{77};
 Ballot constexpr kPromised{~0ULL >> 2};
 
-Store::Op operation(Store::Op::What what, std::string key, std::string value = "") {
-  Store::Op op;
+DiskStore::Op operation(DiskStore::Op::What what, std::string key, std::string value = "") {
+  DiskStore::Op op;
   op.what = what;
   op.k = std::move(key);
   op.v = std::move(value);
   return op;
 }
-Store::Op lease(std::string key, u64 holder, bool sealed) {
-  Store::Op op = operation(Store::Op::What::put_key, std::move(key));
+DiskStore::Op lease(std::string key, u64 holder, bool sealed) {
+  DiskStore::Op op = operation(DiskStore::Op::What::put_key, std::move(key));
   op.holder = holder;
   op.sealed = sealed;
   return op;
 }
 std::string sites_word() {
-  News word;
-  word.sites = filled<News>().sites;
+  StateUpdate word;
+  word.sites = filled<StateUpdate>().sites;
   return codec::pack(word);
 }
 
 // Two commits of two votes, so that both slots of the mark are used, and one row of each table dropped.
 void write_store(std::string const& directory) {
-  using What = Store::Op::What;
-  Store store(directory);
+  using What = DiskStore::Op::What;
+  DiskStore store(directory);
   cr_assert(store.load().fresh);
   Acceptor const founding(kLife, Ballot(1), founding_value());
-  Store::Write first;
+  DiskStore::Write first;
   first.vote.emplace();
   first.vote->rows = rows_of(*founding.state());
   first.vote->head = founding.head();
@@ -82,7 +82,7 @@
   store.commit({&first});
   cr_assert(first.ok);
   Acceptor const later(kLife, kPromised, whole_value());
-  Store::Write second;
+  DiskStore::Write second;
   second.vote.emplace();
   second.vote->rows = rows_between(&*founding.state(), whole_value()).rows;
   second.vote->head = later.head();
@@ -93,10 +93,10 @@
                 operation(What::drop_ret, "key-dropped"),
                 lease("key-claimed", 0x8123456789abcdefULL, false),
                 lease("key-sealed", 0x0123456789abcdefULL, true),
-                operation(What::put_row, filled<Row>().id, codec::pack(filled<Row>())),
-                operation(What::put_ret, filled<Return>().key, codec::pack(filled<Return>())),
-                Store::put_meta("sites", sites_word()),
-                Store::put_meta("whole", Store::whole_word(12))};
+                operation(What::put_row, filled<ServerRecord>().id, codec::pack(filled<ServerRecord>())),
+                operation(What::put_ret, filled<StoredAnswer>().key, codec::pack(filled<StoredAnswer>())),
+                DiskStore::put_meta("sites", sites_word()),
+                DiskStore::put_meta("whole", DiskStore::whole_word(12))};
   store.commit({&second});
   cr_assert(second.ok);
 }
@@ -119,8 +119,9 @@
   run("INSERT INTO meta VALUES('state'," + blob(codec::pack(whole_value())) + ")");
   run("INSERT INTO meta VALUES('sites'," + blob(sites_word()) + ")");
   run("INSERT INTO claim VALUES('key-claimed',7,0),('key-sealed',8,1)");
-  run("INSERT INTO server VALUES('" + filled<Row>().id + "'," + blob(codec::pack(filled<Row>())) + ")");
-  run("INSERT INTO ret VALUES('" + filled<Return>().key + "'," + blob(codec::pack(filled<Return>())) + ")");
+  run("INSERT INTO server VALUES('" + filled<ServerRecord>().id + "'," + blob(codec::pack(filled<ServerRecord>())) +
+      ")");
+  run("INSERT INTO ret VALUES('" + filled<StoredAnswer>().key + "'," + blob(codec::pack(filled<StoredAnswer>())) + ")");
   run("PRAGMA user_version=1");
   sqlite3_close(database);
 }
@@ -136,14 +137,14 @@
 
 // What the class reads, in the order of the keys.
 void check_loaded(GoldenFile& file, std::string const& directory) {
-  Store store(directory);
-  OnDisk const disk = store.load();
+  DiskStore store(directory);
+  StoredState const disk = store.load();
   cr_assert(!disk.fresh && disk.head && disk.value);
   file.check("head", to_hex(codec::pack(*disk.head)));
   file.check("value", to_hex(codec::pack(*disk.value)));
   cr_expect(codec::pack(*disk.value) == codec::pack(whole_value()), "the value is not what was written");
   file.check("keys-filled", std::to_string(disk.keys_filled));
-  for (DiskKey const& key : disk.keys) {
+  for (StoredKey const& key : disk.keys) {
     file.check("key/" + key.key, std::to_string(key.holder) + (key.sealed ? " sealed" : " open"));
   }
   std::size_t number = 0;
@@ -215,9 +216,9 @@
   copy_store(golden_path("store-layout-2"), directory.path);
   fs::remove(directory.path + "/register.db-wal");
   try {
-    OnDisk const disk = Store(directory.path).load();
+    StoredState const disk = DiskStore(directory.path).load();
     cr_expect(!disk.fresh && !disk.head && !disk.value);
-  } catch (Unreadable const&) {
+  } catch (StorageCorruption const&) {
     // refused altogether
   }
 }
--- a/tests/idempotency/claim_coordinator_test.cpp
+++ b/tests/idempotency/claim_coordinator_test.cpp
@@ -20,7 +20,7 @@
   tag,
   connection,
   epoch,
-  life,
+  incarnation,
   end_agent,
   end_proxy,
   end_disk,
@@ -35,8 +35,8 @@
   Change what = Change::none;
 };
 struct Plot {
-  Outcome outcome = Outcome::returned;
-  bool roster = false;  // a disk is replaced by an empty one half-way
+  KeyOutcome outcome = KeyOutcome::returned;
+  bool membership = false;  // a disk is replaced by an empty one half-way
 };
 
 template <class P>
@@ -47,8 +47,8 @@
       disks_.push_back(Disk{});
       Member x;
       x.ip = ip(d);
-      x.life = Life(1);
-      state_.roster.push_back(x);
+      x.incarnation = Incarnation(1);
+      state_.membership.push_back(x);
     }
     state_.epoch = Epoch(1);
     for (int a = 0; a < 2; ++a)
@@ -70,66 +70,66 @@
       if (agents_[a].claims->open() > 0) return "an ask is left behind";
       if (agents_[a].claims->held() > 0) return "a hold is left behind";
       for (auto const& [tag, q] : agents_[a].asks) {
-        if (q.stage == Stage::asking) return "a request waits for ever";
+        if (q.stage == DrainStage::asking) return "a request waits for ever";
       }
     }
     if (!may_leave_)
       for (int d = 0; d < 3; ++d)
         for (HeldKey const& k : disks_[d].ledger.all())
-          if (k.holder != Ledger::nobody && ran_[k.key].count(k.holder) == 0 && !unknown_.count(k.holder))
+          if (k.holder != KeyTable::nobody && ran_[k.key].count(k.holder) == 0 && !unknown_.count(k.holder))
             return "a grant is left behind";
     return "";
   }
   int messages() const { return sent_; }
-  u64 dropped() const { return agents_[0].claims->strays().all() + agents_[1].claims->strays().all(); }
+  u64 dropped() const { return agents_[0].claims->unmatched().all() + agents_[1].claims->unmatched().all(); }
 
  private:
-  enum class Stage { asking, running, over };
-  struct Request {
+  enum class DrainStage { asking, running, over };
+  struct RequestMachine {
     std::string key;
     u64 holder = 0;
-    Stage stage = Stage::asking;
-    Secs until = 0;
+    DrainStage stage = DrainStage::asking;
+    Seconds until = 0;
   };
   struct Agent {  // and its proxy
-    std::unique_ptr<Claims<P>> claims;
+    std::unique_ptr<ClaimCoordinator<P>> claims;
     u64 asker = 0;        // the proxy's connection
     u64 to_disk[3] = {};  // connections
-    std::map<u32, Request> asks;
-    std::vector<Told> untold;
+    std::map<u32, RequestMachine> asks;
+    std::vector<KeyOutcomeNotice> untold;
     u32 next = 0;
-    Secs agent_until = 0, proxy_until = 0, back_at = 0;  // frozen until; connects anew
+    Seconds agent_until = 0, proxy_until = 0, back_at = 0;  // frozen until; connects anew
   };
   struct Disk {
-    Ledger ledger{true};
-    Life life{1};
+    KeyTable ledger{true};
+    Incarnation incarnation{1};
     Epoch epoch{1};
-    Secs frozen = 0, back_at = 0;
+    Seconds frozen = 0, back_at = 0;
   };
   struct ToDisk {
     int agent, disk;
     u64 connection;
-    std::variant<ClaimOut, ReleaseOut, FetchOut, StoreOut> m;
+    std::variant<SendClaim, SendRelease, SendFetch, SendStore> m;
   };
   struct FromDisk {
     int agent, disk;
     u64 connection;
     u32 tag;
-    std::variant<ClaimR, FetchR> m;
+    std::variant<ClaimResponse, FetchAnswerResponse> m;
   };
   struct FromProxy {
     int agent;
     u64 asker;
     u32 tag;
-    std::variant<Ask, Told> m;
+    std::variant<AcquireKeyRequest, KeyOutcomeNotice> m;
   };
   struct ToProxy {
     int agent;
-    AnswerOut m;
+    SendAnswer m;
   };
   using Message = std::variant<ToDisk, FromDisk, FromProxy, ToProxy>;
   struct Queued {
-    Secs at;
+    Seconds at;
     Message m;
   };
 
@@ -142,35 +142,35 @@
   }
   void start(int a) {
     Agent& g = agents_[a];
-    g.claims = std::make_unique<Claims<P>>("z", "r", "node" + std::to_string(a));
+    g.claims = std::make_unique<ClaimCoordinator<P>>("z", "r", "node" + std::to_string(a));
     for (int d = 0; d < 3; ++d)
       connect(a, d);
-    g.claims->roster(state_, now_);
+    g.claims->membership(state_, now_);
     join(a);
     flush(a);
   }
   void join(int a) {  // the proxy's connection
     agents_[a].asker = ++connections_;
     agents_[a].claims->proxy(connections_);
-    for (Told& t : agents_[a].untold)
+    for (KeyOutcomeNotice& t : agents_[a].untold)
       post(FromProxy{a, agents_[a].asker, 0, t});
     agents_[a].untold.clear();
   }
   // What a proxy does once its agent is out of touch: nothing that it asked has run.
   void parted(int a) {
     for (auto& [tag, q] : agents_[a].asks)
-      if (q.stage == Stage::asking) {
-        q.stage = Stage::over;
-        agents_[a].untold.push_back(told(q, Outcome::not_run));
+      if (q.stage == DrainStage::asking) {
+        q.stage = DrainStage::over;
+        agents_[a].untold.push_back(told(q, KeyOutcome::not_run));
       }
   }
-  static Told told(Request const& q, Outcome o) {
-    Told t;
+  static KeyOutcomeNotice told(RequestMachine const& q, KeyOutcome o) {
+    KeyOutcomeNotice t;
     t.key = q.key;
     t.holder = q.holder;
     t.outcome = o;
-    if (o == Outcome::returned) {
-      Return r;
+    if (o == KeyOutcome::returned) {
+      StoredAnswer r;
       r.key = q.key;
       r.holder = q.holder;
       r.code = 200;
@@ -182,11 +182,11 @@
   void ask(int a, std::string const& key, u64 holder) {
     Agent& g = agents_[a];
     u32 const tag = ++g.next;
-    Request& q = g.asks[tag];
+    RequestMachine& q = g.asks[tag];
     q.key = key;
     q.holder = holder;
     q.until = now_ + 2.5;
-    Ask x;
+    AcquireKeyRequest x;
     x.key = key;
     x.holder = holder;
     x.work_ms = 2500;
@@ -196,7 +196,7 @@
   // The one place that messages go through.
   void post(Message m) {
     int const n = sent_++;
-    Secs at = now_ + 0.03;
+    Seconds at = now_ + 0.03;
     for (Mutation const& u : mutations_) {
       if (u.at != n) continue;
       switch (u.what) {
@@ -220,18 +220,18 @@
   void alter(Message& m, Change c) {
     if (auto* x = std::get_if<ToDisk>(&m)) {
       if (c == Change::connection) x->connection += 1000;
-      if (auto* k = std::get_if<ClaimOut>(&x->m)) {
+      if (auto* k = std::get_if<SendClaim>(&x->m)) {
         if (c == Change::tag) ++k->tag;
         if (c == Change::epoch) k->claim.epoch = Epoch(k->claim.epoch.v + 1);
-        if (c == Change::life) k->claim.life = Life(99);
+        if (c == Change::incarnation) k->claim.incarnation = Incarnation(99);
       }
-      if (auto* k = std::get_if<FetchOut>(&x->m); k != nullptr && c == Change::tag) ++k->tag;
+      if (auto* k = std::get_if<SendFetch>(&x->m); k != nullptr && c == Change::tag) ++k->tag;
     } else if (auto* y = std::get_if<FromDisk>(&m)) {
       if (c == Change::tag) ++y->tag;
       if (c == Change::connection) y->connection += 1000;
-      if (auto* k = std::get_if<ClaimR>(&y->m)) {
+      if (auto* k = std::get_if<ClaimResponse>(&y->m)) {
         if (c == Change::epoch) k->epoch = Epoch(k->epoch.v + 1);
-        if (c == Change::life) k->life = Life(99);
+        if (c == Change::incarnation) k->incarnation = Incarnation(99);
       }
     } else if (auto* z = std::get_if<FromProxy>(&m)) {
       if (c == Change::tag) ++z->tag;
@@ -254,8 +254,8 @@
       case Change::end_proxy: {
         may_leave_ = true;  // whether it ran what it was given can't be known
         for (auto& [tag, q] : g.asks) {
-          if (q.stage == Stage::running) unknown_.insert(q.holder);
-          q.stage = Stage::over;
+          if (q.stage == DrainStage::running) unknown_.insert(q.holder);
+          q.stage = DrainStage::over;
         }
         g.untold.clear();
         join(a);
@@ -279,7 +279,7 @@
   }
 
   void flush(int a) {
-    for (ClaimStep& s : agents_[a].claims->take())
+    for (ClaimAction& s : agents_[a].claims->take())
       std::visit([&](auto& x) { out(a, x); }, s);
   }
   template <class M>
@@ -287,12 +287,12 @@
     int const d = disk_of(m.to);
     if (agents_[a].to_disk[d] != 0) post(ToDisk{a, d, agents_[a].to_disk[d], m});
   }
-  void out(int a, ClaimOut const& m) { to_disk(a, m); }
-  void out(int a, ReleaseOut const& m) { to_disk(a, m); }
-  void out(int a, FetchOut const& m) { to_disk(a, m); }
-  void out(int a, StoreOut const& m) { to_disk(a, m); }
-  void out(int a, PullOut const&) { agents_[a].claims->roster(state_, now_); }
-  void out(int a, AnswerOut const& m) {
+  void out(int a, SendClaim const& m) { to_disk(a, m); }
+  void out(int a, SendRelease const& m) { to_disk(a, m); }
+  void out(int a, SendFetch const& m) { to_disk(a, m); }
+  void out(int a, SendStore const& m) { to_disk(a, m); }
+  void out(int a, SendCatchUp const&) { agents_[a].claims->membership(state_, now_); }
+  void out(int a, SendAnswer const& m) {
     if (++said_[{m.asker, m.answer.holder}] > 1) wrong_ = "two answers for one ask";
     post(ToProxy{a, m});
   }
@@ -305,70 +305,70 @@
 
   void arrive(ToDisk const& x) {
     Disk& k = disks_[x.disk];
-    if (auto const* c = std::get_if<ClaimOut>(&x.m)) {
-      ClaimR r;
-      r.life = k.life;
-      if (c->claim.life != k.life) return;
-      if (k.ledger.claim(c->claim, k.epoch, now_, r) == Say::granted &&
+    if (auto const* c = std::get_if<SendClaim>(&x.m)) {
+      ClaimResponse r;
+      r.incarnation = k.incarnation;
+      if (c->claim.incarnation != k.incarnation) return;
+      if (k.ledger.claim(c->claim, k.epoch, now_, r) == ClaimVote::granted &&
           !k.ledger.written(c->claim.key, c->claim.holder, true))
         return;
       post(FromDisk{x.agent, x.disk, x.connection, c->tag, r});
-    } else if (auto const* f = std::get_if<FetchOut>(&x.m)) {
-      FetchR r;
+    } else if (auto const* f = std::get_if<SendFetch>(&x.m)) {
+      FetchAnswerResponse r;
       auto const it = answers_.find(f->fetch.key);
       r.have = it != answers_.end();
       if (r.have) r.ret = it->second;
       post(FromDisk{x.agent, x.disk, x.connection, f->tag, r});
-    } else if (auto const* l = std::get_if<ReleaseOut>(&x.m)) {
+    } else if (auto const* l = std::get_if<SendRelease>(&x.m)) {
       k.ledger.release(l->release);
     } else {
-      std::string const& a = std::get<StoreOut>(x.m).answer;
-      answers_[codec::unpack<Return>(a).key] = a;
+      std::string const& a = std::get<SendStore>(x.m).answer;
+      answers_[codec::unpack<StoredAnswer>(a).key] = a;
     }
   }
   void arrive(FromDisk const& x) {
-    Claims<P>& c = *agents_[x.agent].claims;
-    if (auto const* r = std::get_if<ClaimR>(&x.m))
+    ClaimCoordinator<P>& c = *agents_[x.agent].claims;
+    if (auto const* r = std::get_if<ClaimResponse>(&x.m))
       c.heard(ip(x.disk), x.connection, x.tag, *r, now_);
     else
-      c.heard(ip(x.disk), x.connection, x.tag, std::get<FetchR>(x.m));
+      c.heard(ip(x.disk), x.connection, x.tag, std::get<FetchAnswerResponse>(x.m));
     flush(x.agent);
   }
   void arrive(FromProxy const& x) {
-    Claims<P>& c = *agents_[x.agent].claims;
-    if (auto const* a = std::get_if<Ask>(&x.m))
+    ClaimCoordinator<P>& c = *agents_[x.agent].claims;
+    if (auto const* a = std::get_if<AcquireKeyRequest>(&x.m))
       c.ask(x.asker, x.tag, *a, now_);
     else
-      c.told(std::get<Told>(x.m));
+      c.told(std::get<KeyOutcomeNotice>(x.m));
     flush(x.agent);
   }
   void arrive(ToProxy const& x) {
     Agent& g = agents_[x.agent];
     if (x.m.asker != g.asker) return;  // an earlier connection's
     auto const it = g.asks.find(x.m.tag);
-    if (it == g.asks.end() || it->second.stage != Stage::asking || it->second.holder != x.m.answer.holder) return;
-    Request& q = it->second;
-    q.stage = Stage::over;
-    if (x.m.answer.leave == Leave::repeat) {
-      if (codec::unpack<Return>(x.m.answer.ret).key != q.key) wrong_ = "another's answer";
+    if (it == g.asks.end() || it->second.stage != DrainStage::asking || it->second.holder != x.m.answer.holder) return;
+    RequestMachine& q = it->second;
+    q.stage = DrainStage::over;
+    if (x.m.answer.leave == AcquireResult::repeat) {
+      if (codec::unpack<StoredAnswer>(x.m.answer.ret).key != q.key) wrong_ = "another's answer";
       return;
     }
-    if (x.m.answer.leave != Leave::run) return;
+    if (x.m.answer.leave != AcquireResult::run) return;
     // Who may run it holds it on a majority, and nobody else has run it.
     std::size_t n = 0;
     for (Disk const& d : disks_)
       for (HeldKey const& k : d.ledger.all())
         n += k.key == q.key && k.holder == q.holder ? 1 : 0;
-    if (n < 2 && !plot_.roster) wrong_ = "run without a majority";
+    if (n < 2 && !plot_.membership) wrong_ = "run without a majority";
     if (!ran_[q.key].empty()) wrong_ = "two holders run one key";
     ran_[q.key].insert(q.holder);
-    q.stage = Stage::running;
+    q.stage = DrainStage::running;
     q.until = now_ + 0.2;
   }
 
-  void step(Secs dt) {
+  void step(Seconds dt) {
     now_ += dt;
-    auto const due = [&](Secs t) { return now_ >= t && now_ - dt < t; };
+    auto const due = [&](Seconds t) { return now_ >= t && now_ - dt < t; };
     if (due(0.04)) ask(1, "n", 99);
     if (due(0.1)) ask(0, "k", 11);
     if (due(0.1)) ask(0, "n", 111);
@@ -376,7 +376,7 @@
     if (due(1.0)) ask(0, "l", 33);
     if (due(1.04)) ask(1, "k", 44);
     if (due(1.96)) ask(1, "l", 55);
-    if (plot_.roster && due(2.0)) replace();
+    if (plot_.membership && due(2.0)) replace();
     if (due(2.04)) ask(0, "k", 66);
     if (due(4.6)) ask(1, "k", 77);
     if (due(4.64)) ask(0, "m", 88);
@@ -388,11 +388,11 @@
       }
       if (g.proxy_until > now_) continue;
       for (auto& [tag, q] : g.asks) {
-        if (q.stage == Stage::over || now_ < q.until) continue;
+        if (q.stage == DrainStage::over || now_ < q.until) continue;
         // Its client's time is over, or its server answered, or said it had not run.
-        Outcome const o = q.stage == Stage::asking ? Outcome::not_run : plot_.outcome;
-        if (o == Outcome::not_run) ran_[q.key].erase(q.holder);
-        q.stage = Stage::over;
+        KeyOutcome const o = q.stage == DrainStage::asking ? KeyOutcome::not_run : plot_.outcome;
+        if (o == KeyOutcome::not_run) ran_[q.key].erase(q.holder);
+        q.stage = DrainStage::over;
         post(FromProxy{a, g.asker, 0, told(q, o)});
       }
     }
@@ -422,24 +422,24 @@
   // The third disk is lost; an empty one comes, is filled from the others, and votes.
   void replace() {
     state_.epoch = Epoch(2);
-    state_.bal = Ballot(2);
-    state_.roster[2].life = Life(7);
+    state_.ballot = Ballot(2);
+    state_.membership[2].incarnation = Incarnation(7);
     for (Disk& d : disks_)
       d.epoch = Epoch(2);
-    Ledger fresh(false);
+    KeyTable fresh(false);
     for (int d = 0; d < 2; ++d)
       for (HeldKey const& k : disks_[d].ledger.all())
         fresh.seal(k.key, k.holder, now_);
     fresh.set_whole();
     disks_[2].ledger = std::move(fresh);
-    disks_[2].life = Life(7);
+    disks_[2].incarnation = Incarnation(7);
     may_leave_ = true;  // it copied what may be released meanwhile
     // The agents hear of it from whoever refuses their claims.
   }
 
   Plot plot_;
   std::vector<Mutation> mutations_;
-  State state_;
+  ReplicatedState state_;
   std::vector<Disk> disks_;
   std::vector<Agent> agents_;
   std::vector<Queued> bag_;
@@ -448,7 +448,7 @@
   std::map<std::string, std::set<u64>> ran_;
   std::set<u64> unknown_;
   std::map<std::pair<u64, u64>, int> said_;  // answers, by connection and holder
-  Secs now_ = 0;
+  Seconds now_ = 0;
   u64 connections_ = 0;
   int sent_ = 0;
   bool may_leave_ = false;
@@ -457,7 +457,7 @@
 
 std::vector<Plot> plots() {
   std::vector<Plot> v;
-  for (Outcome const o : {Outcome::returned, Outcome::not_run, Outcome::lost})
+  for (KeyOutcome const o : {KeyOutcome::returned, KeyOutcome::not_run, KeyOutcome::lost})
     for (bool const r : {false, true})
       v.push_back({o, r});
   return v;
@@ -474,7 +474,7 @@
       World<P> x(p, m);
       std::string const w = x.run();
       if (w.empty()) return "";
-      return "outcome " + std::to_string(static_cast<int>(p.outcome)) + (p.roster ? ", roster changed" : "") +
+      return "outcome " + std::to_string(static_cast<int>(p.outcome)) + (p.membership ? ", roster changed" : "") +
              ", message " + std::to_string(m[0].at) + ", change " + std::to_string(static_cast<int>(m[0].what)) + ": " +
              w;
     };
@@ -489,20 +489,20 @@
   return "";
 }
 
-struct TagAlone : Strict {  // an answer goes to whoever has its tag now
+struct TagAlone : StrictClaimPolicy {  // an answer goes to whoever has its tag now
   static bool same_connection(u64, u64) { return true; }
   static bool same_holder(u64, u64) { return true; }
 };
-struct CountsTwice : Strict {  // one disk's vote, said twice, is two
+struct CountsTwice : StrictClaimPolicy {  // one disk's vote, said twice, is two
   static std::string voter(std::string const& ip) {
     static int n = 0;
     return ip + std::to_string(++n);
   }
 };
-struct ReleasesLost : Strict {  // an unknown end is taken for none
-  static bool not_run(Outcome o) { return o != Outcome::returned; }
+struct ReleasesLost : StrictClaimPolicy {  // an unknown end is taken for none
+  static bool not_run(KeyOutcome o) { return o != KeyOutcome::returned; }
 };
-struct ReleasesRunning : Strict {  // a proxy out of touch is taken for one that never ran it
+struct ReleasesRunning : StrictClaimPolicy {  // a proxy out of touch is taken for one that never ran it
   static bool may_release(bool) { return true; }
 };
 
@@ -510,7 +510,7 @@
 
 Test(claims, one_message_changed_at_a_time) {
   int runs = 0;
-  std::string const w = sweep<Strict>(runs);
+  std::string const w = sweep<StrictClaimPolicy>(runs);
   cr_assert(w.empty(), "%s", w.c_str());
   cr_assert_gt(runs, 3000);
 }
@@ -530,7 +530,7 @@
     std::vector<Mutation> m;
     for (unsigned n = 2 + rnd() % 4; n > 0; --n)
       m.push_back({static_cast<int>(rnd() % 90), static_cast<Change>(1 + rnd() % (changes - 1))});
-    World<Strict> x(all[rnd() % all.size()], m);
+    World<StrictClaimPolicy> x(all[rnd() % all.size()], m);
     std::string const w = x.run();
     // Of several at once, only what must never be: what is left behind may be.
     cr_assert(w.empty() || w == "a grant is left behind", "seed %u: %s", seed, w.c_str());
@@ -540,27 +540,27 @@
 Test(claims, a_body_with_homes_never_passes_a_relay) {
   for (bool const relayed : {false, true})
     for (bool const homes : {false, true}) {
-      Claims<> c("z", "r", "node");
-      State st;
+      ClaimCoordinator<> c("z", "r", "node");
+      ReplicatedState st;
       Member m;
       m.ip = "10.0.0.1";
       m.zone = "z";
       m.region = "r";
-      m.life = Life(1);
-      st.roster.push_back(m);
-      c.roster(st, 1);
+      m.incarnation = Incarnation(1);
+      st.membership.push_back(m);
+      c.membership(st, 1);
       c.proxy(7);
       c.up(m.ip, 1, relayed);
-      Told t;
+      KeyOutcomeNotice t;
       t.key = "k";
       t.holder = 5;
-      t.outcome = Outcome::returned;
+      t.outcome = KeyOutcome::returned;
       t.ret = "body";
       if (homes) t.homes.push_back("r");
       c.told(t);
       auto const out = c.take();
-      bool const stored =
-          std::any_of(out.begin(), out.end(), [](ClaimStep const& x) { return std::holds_alternative<StoreOut>(x); });
+      bool const stored = std::any_of(out.begin(), out.end(),
+                                      [](ClaimAction const& x) { return std::holds_alternative<SendStore>(x); });
       cr_assert_eq(stored, !(relayed && homes), "relayed %d, homes %d", relayed, homes);
     }
 }
--- a/tests/idempotency/key_table_test.cpp
+++ b/tests/idempotency/key_table_test.cpp
@@ -9,8 +9,8 @@
 using namespace dockbend;
 
 namespace {
-Claim claim(std::string k, u64 holder, u64 epoch = 1) {
-  Claim c{};
+ClaimRequest claim(std::string k, u64 holder, u64 epoch = 1) {
+  ClaimRequest c{};
   c.key = std::move(k);
   c.holder = holder;
   c.epoch = Epoch(epoch);
@@ -20,81 +20,81 @@
 }  // namespace
 
 Test(keys, first_come_and_only_one) {
-  Ledger l(true);
-  ClaimR r{};
-  cr_assert(l.claim(claim("k", 7), Epoch(1), 0, r) == Say::granted);
-  cr_assert(l.claim(claim("k", 7), Epoch(1), 0, r) == Say::granted, "the same holder may ask again");
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 0.5, r) == Say::held);
+  KeyTable l(true);
+  ClaimResponse r{};
+  cr_assert(l.claim(claim("k", 7), Epoch(1), 0, r) == ClaimVote::granted);
+  cr_assert(l.claim(claim("k", 7), Epoch(1), 0, r) == ClaimVote::granted, "the same holder may ask again");
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 0.5, r) == ClaimVote::held);
   cr_assert(r.at_work);
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 1.5, r) == Say::held);
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 1.5, r) == ClaimVote::held);
   cr_assert_not(r.at_work, "its time is up");
-  Release rel{};
+  ReleaseRequest rel{};
   rel.key = "k";
   rel.holder = 8;
   cr_assert_not(l.release(rel), "only its holder gives it back");
   rel.holder = 7;
   cr_assert(l.release(rel));
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 2, r) == Say::held, "whoever released claims no more");
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 2, r) == ClaimVote::held, "whoever released claims no more");
   cr_assert_eq(l.late(), 1u);
-  cr_assert(l.claim(claim("k", 9), Epoch(1), 2, r) == Say::granted);
+  cr_assert(l.claim(claim("k", 9), Epoch(1), 2, r) == ClaimVote::granted);
 }
 
 // Claimed twice by one holder; the first write fails, another gets the key, and only then
 // the second write ends.
 Test(keys, a_grant_that_another_has_meanwhile_is_not_said) {
-  Ledger l(true);
-  ClaimR r{};
+  KeyTable l(true);
+  ClaimResponse r{};
   l.claim(claim("k", 7), Epoch(1), 0, r);
   l.claim(claim("k", 7), Epoch(1), 0, r);
   cr_assert_not(l.written("k", 7, false));
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 0, r) == Say::granted);
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 0, r) == ClaimVote::granted);
   cr_assert_not(l.written("k", 7, true));
   cr_assert(l.written("k", 8, true));
 }
 
 Test(keys, a_write_that_failed_grants_nothing) {
-  Ledger l(true);
-  ClaimR r{};
+  KeyTable l(true);
+  ClaimResponse r{};
   l.claim(claim("k", 7), Epoch(1), 0, r);
   l.written("k", 7, false);
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 0, r) == Say::granted);
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 0, r) == ClaimVote::granted);
   l.written("k", 8, true);
   l.written("k", 8, false);
-  cr_assert(l.claim(claim("k", 9), Epoch(1), 0, r) == Say::held, "what is on disk stays");
+  cr_assert(l.claim(claim("k", 9), Epoch(1), 0, r) == ClaimVote::held, "what is on disk stays");
 }
 
 Test(keys, other_epoch_and_empty_disk_say_nothing) {
-  Ledger l(true);
-  ClaimR r{};
-  cr_assert(l.claim(claim("k", 7, 1), Epoch(2), 0, r) == Say::epoch);
-  Ledger n(false);
-  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == Say::unready);
+  KeyTable l(true);
+  ClaimResponse r{};
+  cr_assert(l.claim(claim("k", 7, 1), Epoch(2), 0, r) == ClaimVote::epoch);
+  KeyTable n(false);
+  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == ClaimVote::unready);
   n.seal("k", 7, 0);
   n.set_whole();
-  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == Say::held,
+  cr_assert(n.claim(claim("k", 7), Epoch(1), 0, r) == ClaimVote::held,
             "what was copied is not granted, not even to its holder");
 }
 
 Test(keys, says_of_another_roster_are_no_votes) {
-  Quest q(3, Epoch(2));
-  ClaimR r{};
+  ClaimQuorum q(3, Epoch(2));
+  ClaimResponse r{};
   r.epoch = Epoch(1);
-  for (Say const s : {Say::held, Say::granted})
+  for (ClaimVote const s : {ClaimVote::held, ClaimVote::granted})
     for (char const* d : {"a", "b", "c"}) {
       r.say = s;
-      cr_assert(q.hear(d, r) == Quest::End::open);
+      cr_assert(q.hear(d, r) == ClaimQuorum::Result::open);
     }
   cr_assert_eq(q.grants() + q.refusals(), 0u);
 }
 
 Test(keys, kept_past_the_horizon_and_anew_after_a_restart) {
-  Ledger l(true);
-  ClaimR r{};
+  KeyTable l(true);
+  ClaimResponse r{};
   l.load("k", 7, false, 100);
   cr_assert(l.forget(60, 159, 10).empty());
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 159, r) == Say::held);
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 159, r) == ClaimVote::held);
   cr_assert_eq(l.forget(60, 161, 10).size(), 1u);
-  cr_assert(l.claim(claim("k", 8), Epoch(1), 161, r) == Say::granted);
+  cr_assert(l.claim(claim("k", 8), Epoch(1), 161, r) == ClaimVote::granted);
 }
 
 // Two holders ask the disks in any order, with losses, restarts of the askers and
@@ -104,30 +104,30 @@
     std::mt19937 rnd(seed);
     int const n = 3 + static_cast<int>(rnd() % 4);
     int const maj = n / 2 + 1;
-    std::vector<Ledger> d(static_cast<std::size_t>(n), Ledger(true));
+    std::vector<KeyTable> d(static_cast<std::size_t>(n), KeyTable(true));
     std::vector<u64> epoch(static_cast<std::size_t>(n), 1);
-    std::vector<Life> life(static_cast<std::size_t>(n), Life(1));
-    struct Want {
+    std::vector<Incarnation> incarnation(static_cast<std::size_t>(n), Incarnation(1));
+    struct QuotaDemand {
       u64 holder;
       int to;
       u64 epoch;
     };
-    std::vector<Want> bag;
+    std::vector<QuotaDemand> bag;
     for (u64 h : {7, 8})
       for (int i = 0; i < n; ++i)
         bag.push_back({h, i, 1});
     std::shuffle(bag.begin(), bag.end(), rnd);
-    std::map<u64, Quest> q;
+    std::map<u64, ClaimQuorum> q;
     for (u64 h : {7, 8})
-      q.emplace(h, Quest(static_cast<std::size_t>(n), Epoch(1)));
+      q.emplace(h, ClaimQuorum(static_cast<std::size_t>(n), Epoch(1)));
     std::set<u64> won;
     int const wiped = static_cast<int>(rnd() % static_cast<unsigned>(n));
     std::size_t const when = rnd() % bag.size();
     for (std::size_t i = 0; i < bag.size(); ++i) {
       if (i == when) {
         // Every other disk takes the new roster, then the new disk is filled.
-        d[static_cast<std::size_t>(wiped)] = Ledger(false);
-        life[static_cast<std::size_t>(wiped)] = Life(99);
+        d[static_cast<std::size_t>(wiped)] = KeyTable(false);
+        incarnation[static_cast<std::size_t>(wiped)] = Incarnation(99);
         for (auto& e : epoch)
           e = 2;
         std::vector<int> others;
@@ -142,20 +142,21 @@
         for (u64 h : {7, 8})
           if (won.count(h) == 0) {
             q.erase(h);
-            q.emplace(h, Quest(static_cast<std::size_t>(n), Epoch(2)));
+            q.emplace(h, ClaimQuorum(static_cast<std::size_t>(n), Epoch(2)));
             for (int k = 0; k < n; ++k)
               bag.push_back({h, k, 2});
           }
         std::shuffle(bag.begin() + static_cast<long>(i) + 1, bag.end(), rnd);
       }
-      Want const w = bag[i];
+      QuotaDemand const w = bag[i];
       if (rnd() % 10 == 0 || won.count(w.holder) > 0) continue;
       auto const to = static_cast<std::size_t>(w.to);
-      ClaimR r{};
-      Claim const c = claim("k", w.holder, w.epoch);
-      if (d[to].claim(c, Epoch(epoch[to]), 0, r) == Say::granted) d[to].written("k", w.holder, true);
+      ClaimResponse r{};
+      ClaimRequest const c = claim("k", w.holder, w.epoch);
+      if (d[to].claim(c, Epoch(epoch[to]), 0, r) == ClaimVote::granted) d[to].written("k", w.holder, true);
       if (q.at(w.holder).epoch() == Epoch(w.epoch) &&
-          q.at(w.holder).hear(std::to_string(w.to) + "/" + std::to_string(life[to].v), r) == Quest::End::granted)
+          q.at(w.holder).hear(std::to_string(w.to) + "/" + std::to_string(incarnation[to].v), r) ==
+              ClaimQuorum::Result::granted)
         won.insert(w.holder);
     }
     cr_assert(won.size() <= 1, "seed %u: both hold the key", seed);
@@ -166,29 +167,29 @@
 // holder ran it. The first one's release must not free what the other ran.
 Test(keys, a_losers_release_frees_no_sealed_key_of_another) {
   for (bool const loser_first : {true, false}) {
-    Ledger l(false);
+    KeyTable l(false);
     u64 const ran = 7, loser = 9;
     l.seal("k", loser_first ? loser : ran, 1);
     l.seal("k", loser_first ? ran : loser, 1);
     l.set_whole();
-    Release r;
+    ReleaseRequest r;
     r.key = "k";
-    for (u64 const h : {loser, ran, Ledger::nobody}) {
+    for (u64 const h : {loser, ran, KeyTable::nobody}) {
       r.holder = h;
       cr_assert_not(l.release(r));
     }
-    Claim c;
+    ClaimRequest c;
     c.key = "k";
     c.holder = 11;
     c.epoch = Epoch(3);
-    ClaimR a;
-    cr_assert(l.claim(c, Epoch(3), 2, a) == Say::held);
+    ClaimResponse a;
+    cr_assert(l.claim(c, Epoch(3), 2, a) == ClaimVote::held);
   }
   // With one holder only, its release frees it.
-  Ledger l(false);
+  KeyTable l(false);
   l.seal("k", 5, 1);
   l.seal("k", 5, 1);
-  Release r;
+  ReleaseRequest r;
   r.key = "k";
   r.holder = 5;
   cr_assert(l.release(r));
--- a/tests/leases/lease_test.cpp
+++ b/tests/leases/lease_test.cpp
@@ -14,26 +14,26 @@
 // any of them may be lost. A node may be killed, frozen, cut off from either side.
 struct Sim {
   struct Act {
-    Secs at = 0;
+    Seconds at = 0;
     int node = 0;
     u64 fence = 0, window = 0;
     std::string body;
     bool excused = false;  // its sender was frozen or cut a moment ago
   };
   struct Node {
-    std::unique_ptr<Duty> duty;
-    std::unique_ptr<Reporter> rep;
-    State known;
-    Totals totals;
-    Secs down_until = -1, frozen_until = -1, cut_until = -1, deaf_until = -1, thawed = -1e9;
-    u64 life = 0;
+    std::unique_ptr<LeaseClient> duty;
+    std::unique_ptr<UsageReporter> rep;
+    ReplicatedState known;
+    UsageTotals totals;
+    Seconds down_until = -1, frozen_until = -1, cut_until = -1, deaf_until = -1, thawed = -1e9;
+    u64 incarnation = 0;
     bool handing = false;
   };
   struct Later {
-    Secs at = 0;
+    Seconds at = 0;
     std::function<void()> f;
     int node = -1;  // handled by this node: waits while it is frozen, lost if it died
-    u64 life = 0;
+    u64 incarnation = 0;
   };
 
   explicit Sim(unsigned seed, int n) : rnd(seed) {
@@ -47,17 +47,18 @@
 
   void born(int i) {
     Node& x = nodes[static_cast<std::size_t>(i)];
-    x.duty = std::make_unique<Duty>("usage", name(i), "10.0.0." + std::to_string(i), DutyPlan{3, 0.4, 1.0}, now);
-    x.rep = std::make_unique<Reporter>(ReportPlan{5, 3, 3, 1.0, 0.05, 0.4, 3.0});
-    x.known = State();
-    x.totals = Totals();
-    ++x.life;
+    x.duty =
+        std::make_unique<LeaseClient>("usage", name(i), "10.0.0." + std::to_string(i), LeaseOptions{3, 0.4, 1.0}, now);
+    x.rep = std::make_unique<UsageReporter>(UsageReportOptions{5, 3, 3, 1.0, 0.05, 0.4, 3.0});
+    x.known = ReplicatedState();
+    x.totals = UsageTotals();
+    ++x.incarnation;
     // What a node counts differs from node to node: a body that was not fixed first
     // would show.
     for (u64 w = 100; w < 130; ++w) {
-      TallyRow r;
-      r.life = static_cast<u64>(i) + 10;
-      r.window = Window(w);
+      UsageRow r;
+      r.incarnation = static_cast<u64>(i) + 10;
+      r.window = UsageWindow(w);
       r.tenants = {"t"};
       r.counts = {w + static_cast<u64>(i)};
       x.totals.join(r);
@@ -65,12 +66,12 @@
     tell(i);
   }
 
-  void later(Secs d, int node, std::function<void()> f) {
-    q.push_back(Later{now + d, std::move(f), node, node < 0 ? 0 : nodes[static_cast<std::size_t>(node)].life});
+  void later(Seconds d, int node, std::function<void()> f) {
+    q.push_back(Later{now + d, std::move(f), node, node < 0 ? 0 : nodes[static_cast<std::size_t>(node)].incarnation});
   }
 
   void tell(int i) {
-    State const s = reg;
+    ReplicatedState const s = reg;
     later(u(0.01, 0.2), i, [this, i, s] {
       Node& x = nodes[static_cast<std::size_t>(i)];
       if (now < x.cut_until) return;
@@ -80,12 +81,12 @@
   }
 
   // A change asked of the register by node i.
-  void submit(int i, std::function<bool(State&)> change, std::function<void(bool)> done) {
+  void submit(int i, std::function<bool(ReplicatedState&)> change, std::function<void(bool)> done) {
     bool const lost = now < nodes[static_cast<std::size_t>(i)].cut_until || now < reg_down_until;
     auto const ok = std::make_shared<bool>(false);
     if (!lost)
       later(u(0.02, slow ? 2.5 : 0.3), -1, [this, change, ok] {
-        State s = reg;
+        ReplicatedState s = reg;
         if (change(s)) {
           reg = s;
           *ok = true;
@@ -97,12 +98,12 @@
     later(mute ? 1.0 : u(0.35, 0.8), i, [done, ok, mute] { done(!mute && *ok); });
   }
 
-  void step(Secs dt) {
+  void step(Seconds dt) {
     now += dt;
     for (std::size_t k = 0; k < q.size();) {
       Later& l = q[k];
       Node* x = l.node < 0 ? nullptr : &nodes[static_cast<std::size_t>(l.node)];
-      bool const dead = x != nullptr && l.life != x->life;
+      bool const dead = x != nullptr && l.incarnation != x->incarnation;
       bool const waits = x != nullptr && !dead && (now < x->frozen_until);
       if (l.at > now || waits) {
         ++k;
@@ -128,16 +129,17 @@
       x.thawed = now;
       x.frozen_until = -1;
     }
-    Duty& d = *x.duty;
-    if (Duty::Move const m = d.step(now, true); m != Duty::Move::none && !(m == Duty::Move::hand && x.rep->calling())) {
-      Duty::Ask const a = d.ask(m, now);
-      Duty const as_it_was = d;
+    LeaseClient& d = *x.duty;
+    if (LeaseClient::Action const m = d.step(now, true);
+        m != LeaseClient::Action::none && !(m == LeaseClient::Action::hand && x.rep->calling())) {
+      LeaseClient::Proposal const a = d.ask(m, now);
+      LeaseClient const as_it_was = d;
       auto const acked = x.rep->acked();
       submit(
           i,
-          [as_it_was, a, acked](State& s) {
+          [as_it_was, a, acked](ReplicatedState& s) {
             bool const ok = as_it_was.apply(s, a);
-            if (ok && acked) Reporter::tick_off(s, *acked);
+            if (ok && acked) UsageReporter::tick_off(s, *acked);
             return ok;
           },
           [this, i, a](bool ok) { nodes[static_cast<std::size_t>(i)].duty->answered(a, ok, now); });
@@ -148,12 +150,12 @@
     }
     if (auto const f = x.rep->to_fix(x.known, x.totals, 500 + now, now, now - d.since()))
       submit(
-          i, [f](State& s) { return Reporter::fix(s, *f); }, [](bool) {});
+          i, [f](ReplicatedState& s) { return UsageReporter::fix(s, *f); }, [](bool) {});
     auto const s = x.rep->to_send(x.known, now);
     if (!s || !d.may_act(now, x.rep->call_s())) return;
     x.rep->sent(now);
     // The connection is reset at the call's deadline: what has not arrived never will.
-    Secs const way = u(0.001, platform_slow ? 3.0 : 0.3);
+    Seconds const way = u(0.001, platform_slow ? 3.0 : 0.3);
     bool const gone = now < x.deaf_until || way > x.rep->call_s();
     u64 const fence = d.fence();
     if (!gone)
@@ -192,9 +194,9 @@
   }
 
   std::mt19937 rnd;
-  Secs now = 0, reg_down_until = -1;
+  Seconds now = 0, reg_down_until = -1;
   bool slow = false, platform_slow = false;
-  State reg;
+  ReplicatedState reg;
   std::vector<Node> nodes;
   std::vector<Later> q;
   std::vector<Act> acts;
@@ -208,7 +210,7 @@
   std::size_t reported = 0, changes = 0;
   for (unsigned seed = 1; seed <= 150; ++seed) {
     Sim s(seed, 4);
-    Secs next = 3;
+    Seconds next = 3;
     while (s.now < 45) {
       s.step(0.05);
       if (s.now < next) continue;
@@ -221,8 +223,8 @@
       switch (s.rnd() % 8) {
         case 0:
           x.down_until = s.now + s.u(0.3, 3);
-          ++x.life;
-          x.duty = std::make_unique<Duty>("usage", Sim::name(i), "", DutyPlan{3, 0.4, 1.0}, s.now);
+          ++x.incarnation;
+          x.duty = std::make_unique<LeaseClient>("usage", Sim::name(i), "", LeaseOptions{3, 0.4, 1.0}, s.now);
           break;
         case 1: x.frozen_until = s.now + s.u(0.5, 6); break;
         case 2: x.cut_until = s.now + s.u(0.5, 6); break;
@@ -260,9 +262,9 @@
 
 // What the holder may still do is counted from before it asked.
 Test(duty, a_slow_commit_leaves_less_time_to_act) {
-  Duty d("usage", "a", "", DutyPlan{3, 0.4, 1}, 0);
-  State s;
-  auto const a = d.ask(Duty::Move::take, 1.0);
+  LeaseClient d("usage", "a", "", LeaseOptions{3, 0.4, 1}, 0);
+  ReplicatedState s;
+  auto const a = d.ask(LeaseClient::Action::take, 1.0);
   cr_assert(d.apply(s, a));
   d.answered(a, true, 3.0);  // two seconds on its way
   cr_assert(d.may_act(3.0, 0.5));
@@ -271,44 +273,44 @@
 }
 
 Test(duty, who_just_held_it_or_just_began_waits_out_a_term) {
-  State s;
-  Duty a("usage", "a", "", DutyPlan{3, 0.4, 1}, 0), b("usage", "b", "", DutyPlan{3, 0.4, 1}, 0);
-  auto x = a.ask(Duty::Move::take, 1);
+  ReplicatedState s;
+  LeaseClient a("usage", "a", "", LeaseOptions{3, 0.4, 1}, 0), b("usage", "b", "", LeaseOptions{3, 0.4, 1}, 0);
+  auto x = a.ask(LeaseClient::Action::take, 1);
   cr_assert(a.apply(s, x));
   a.answered(x, true, 1.1);
   a.seen(s.term("usage"), 1.1);
   b.seen(s.term("usage"), 1.1);
-  cr_assert(b.step(4.4, true) == Duty::Move::none, "not before lease and margin");
+  cr_assert(b.step(4.4, true) == LeaseClient::Action::none, "not before lease and margin");
   // Named by the holder, b takes it at once; a, named right back, must wait.
   cr_assert(a.hand_over("b"));
   cr_assert_not(a.may_act(4.4, 0));
-  cr_assert(a.step(4.4, true) == Duty::Move::hand);
-  x = a.ask(Duty::Move::hand, 4.4);
+  cr_assert(a.step(4.4, true) == LeaseClient::Action::hand);
+  x = a.ask(LeaseClient::Action::hand, 4.4);
   cr_assert(a.apply(s, x));
   a.answered(x, true, 4.5);
   b.seen(s.term("usage"), 4.5);
-  cr_assert(b.step(4.5, true) == Duty::Move::take);
-  x = b.ask(Duty::Move::take, 4.5);
+  cr_assert(b.step(4.5, true) == LeaseClient::Action::take);
+  x = b.ask(LeaseClient::Action::take, 4.5);
   cr_assert(b.apply(s, x));
   b.answered(x, true, 4.6);
   cr_assert(b.may_act(4.6, 1));
   cr_assert_eq(b.fence(), 2);
   b.seen(s.term("usage"), 4.6);
   b.hand_over("a");
-  x = b.ask(Duty::Move::hand, 5.0);
+  x = b.ask(LeaseClient::Action::hand, 5.0);
   cr_assert(b.apply(s, x));
   a.seen(s.term("usage"), 5.1);
-  cr_assert(a.step(5.1, true) == Duty::Move::none, "a held it a moment ago");
+  cr_assert(a.step(5.1, true) == LeaseClient::Action::none, "a held it a moment ago");
   // A new life of a node does not know what the old one did.
-  Duty c("usage", "a", "", DutyPlan{3, 0.4, 1}, 5.1);
+  LeaseClient c("usage", "a", "", LeaseOptions{3, 0.4, 1}, 5.1);
   c.seen(s.term("usage"), 5.2);
-  cr_assert(c.step(6, true) == Duty::Move::none);
+  cr_assert(c.step(6, true) == LeaseClient::Action::none);
 }
 
 Test(duty, two_candidates_one_term) {
-  State s;
-  Duty a("usage", "a", "", DutyPlan{}, 0), b("usage", "b", "", DutyPlan{}, 0);
-  auto const x = a.ask(Duty::Move::take, 1), y = b.ask(Duty::Move::take, 1);
+  ReplicatedState s;
+  LeaseClient a("usage", "a", "", LeaseOptions{}, 0), b("usage", "b", "", LeaseOptions{}, 0);
+  auto const x = a.ask(LeaseClient::Action::take, 1), y = b.ask(LeaseClient::Action::take, 1);
   cr_assert(a.apply(s, x));
   cr_assert_not(b.apply(s, y));
   b.answered(y, false, 1.2);
@@ -317,25 +319,25 @@
 
 // One body a window for ever; refusals, silence and 429 are heeded.
 Test(reporter, fixes_once_sends_in_order_and_repeats_byte_for_byte) {
-  Reporter r(ReportPlan{5, 1.5, 6, 1, 0.05, 0.4, 3});
-  State s;
-  Totals t;
-  TallyRow row;
-  row.life = 1;
-  row.window = Window(10);
+  UsageReporter r(UsageReportOptions{5, 1.5, 6, 1, 0.05, 0.4, 3});
+  ReplicatedState s;
+  UsageTotals t;
+  UsageRow row;
+  row.incarnation = 1;
+  row.window = UsageWindow(10);
   row.tenants = {"a"};
   row.counts = {7};
   t.join(row);
   cr_assert_not(r.to_fix(s, t, 60.9, 100, 50).has_value(), "a proxy that has not gone on may be cut off");
   cr_assert_not(r.to_fix(s, t, 61.1, 100, 0.5).has_value(), "a new holder waits for others' counts");
-  row.window = Window(11);
+  row.window = UsageWindow(11);
   t.join(row);
   cr_assert_not(r.to_fix(s, t, 56.4, 100, 50).has_value(), "counts settle first");
   auto const f = r.to_fix(s, t, 56.6, 100, 50);
-  cr_assert(f && Reporter::fix(s, *f));
-  FixedWindow other = *f;
+  cr_assert(f && UsageReporter::fix(s, *f));
+  FrozenUsageReport other = *f;
   other.body = "{}";
-  cr_assert_not(Reporter::fix(s, other), "a window is fixed once");
+  cr_assert_not(UsageReporter::fix(s, other), "a window is fixed once");
   auto c = r.to_send(s, 101);
   cr_assert(c && c->body == "{\"windowIndex\":10,\"tallies\":{\"a\":7}}");
   r.sent(101);
@@ -351,6 +353,6 @@
   r.sent(106);
   r.answered(10, 200, -1, 106.1);
   cr_assert_not(r.to_send(s, 107).has_value(), "200 ends it");
-  cr_assert(Reporter::tick_off(s, *r.acked()));
+  cr_assert(UsageReporter::tick_off(s, *r.acked()));
   cr_assert(s.fixed.empty() && s.to_fix == 11);
 }
--- a/tests/linearizability/linearizability_test.cpp
+++ b/tests/linearizability/linearizability_test.cpp
@@ -6,10 +6,10 @@
 
 using namespace dockbend;
 using namespace dockbend::test;
-using namespace dockbend::provenance;
+using namespace dockbend::linearizability;
 
 namespace {
-using Call = Recorded<Control::Op>;
+using Call = RecordedOperation<Control::Op>;
 
 Control::Op amend(std::string key, u64 gen, std::string body, bool ok = true) {
   Control::Op o;
@@ -39,16 +39,16 @@
   if (out) o.seen.zones.insert("z");
   return o;
 }
-Finding found(std::vector<Call> const& h) {
+CheckVerdict found(std::vector<Call> const& h) {
   return check<Control>(h, {}).finding;
 }
 bool good(std::vector<Call> const& h) {
-  return found(h) == Finding::linearizable;
+  return found(h) == CheckVerdict::linearizable;
 }
 }  // namespace
 
 // Histories that differ in one answer or one moment, one of which can't have been.
-Test(provenance, planted_faults_are_found) {
+Test(linearizability, planted_faults_are_found) {
   Call const a{amend("r", 1, "a"), 1, 2, true}, b{amend("r", 2, "b"), 3, 4, true};
   cr_assert(good({a, b, {read(2, "b"), 5, 6, true}}));
   cr_assert_not(good({a, b, {read(1, "a"), 5, 6, true}}), "a stale read");
@@ -68,14 +68,14 @@
 }
 
 // A call of which nobody knows the outcome has its effect late, or never, and once.
-Test(provenance, unknown_outcomes_may_come_late_or_never) {
+Test(linearizability, unknown_outcomes_may_come_late_or_never) {
   Call const a{amend("r", 1, "a"), 1};
   cr_assert(good({a, {read(0, ""), 5, 6, true}, {read(1, "a"), 7, 8, true}}), "late");
   cr_assert(good({a, {read(0, ""), 5, 6, true}}), "never");
   cr_assert_not(good({a, {read(1, "a"), 5, 6, true}, {read(0, ""), 7, 8, true}}), "it does not go back");
   cr_assert_not(good({{a.op, 4}, {read(1, "a"), 1, 2, true}}), "nothing has its effect before it is sent");
 
-  Call const on{order(true), 1, never}, off{order(false), 3, 4, true};
+  Call const on{order(true), 1, kNever}, off{order(false), 3, 4, true};
   cr_assert(good({on, {read(0, "", true), 2, 2, true}, off, {read(0, ""), 5, 6, true}}));
   cr_assert_not(good({on, {read(0, "", true), 2, 2, true}, off, {read(0, "", true), 5, 6, true}}),
                 "one order, two effects");
@@ -86,7 +86,7 @@
 
 // Eight callers, made up from one true order: found good whatever overlaps; one answer
 // spoiled: found broken.
-Test(provenance, eight_callers_of_a_true_order_are_good_and_one_spoiled_answer_is_not) {
+Test(linearizability, eight_callers_of_a_true_order_are_good_and_one_spoiled_answer_is_not) {
   std::size_t spoiled = 0, steps = 0;
   for (unsigned seed = 1; seed <= 24; ++seed) {
     std::mt19937 rnd(seed);
@@ -109,10 +109,10 @@
       if (known || rnd() % 2 == 0) Control::next(st, o, known);
       Moment const from = std::max(free[who] + 1, at - std::min<Moment>(at, rnd() % 60)), to = at + rnd() % 60;
       free[who] = to;
-      h.push_back({o, from, known ? to : never, known});
+      h.push_back({o, from, known ? to : kNever, known});
     }
     auto const r = check<Control>(h, {});
-    cr_assert(r.finding == Finding::linearizable, "seed %u: %zu of %zu placed", seed, r.placed, h.size());
+    cr_assert(r.finding == CheckVerdict::linearizable, "seed %u: %zu of %zu placed", seed, r.placed, h.size());
     steps += r.steps;
     for (int t = 0; t < 5; ++t) {
       std::vector<Call> bad = h;
@@ -125,7 +125,7 @@
         continue;
       else
         x.op.seen.items.begin()->second.body += "x";
-      cr_assert(found(bad) == Finding::broken, "seed %u", seed);
+      cr_assert(found(bad) == CheckVerdict::broken, "seed %u", seed);
       ++spoiled;
     }
   }
--- a/tests/load_balancing/load_balancer_test.cpp
+++ b/tests/load_balancing/load_balancer_test.cpp
@@ -11,8 +11,8 @@
   return parse_settings("ip=10.0.0.1\nzone=" + zone +
                         "\ninnerPorts=7000,7010\nzones.n1=north\nzones.n2=north\nzones.s1=south\nbeatPeriodS=1\n");
 }
-Assign::Seen seen(std::string id, std::string zone, double cold = 0) {
-  Assign::Seen s;
+LoadBalancer::Seen seen(std::string id, std::string zone, double cold = 0) {
+  LoadBalancer::Seen s;
   s.id = id;
   s.service = "p";
   s.address = "10.1.0.1:80";
@@ -22,8 +22,8 @@
   s.cold_left = cold;
   return s;
 }
-Wish wish(Assign& a) {
-  Wish w;
+EndpointQuery wish(LoadBalancer& a) {
+  EndpointQuery w;
   w.pool = a.pool("p");
   return w;
 }
@@ -31,12 +31,12 @@
 
 Test(assign, own_zone_then_region_and_homes_bind) {
   Settings const st = settings();
-  Assign a(st);
+  LoadBalancer a(st);
   a.table({seen("z", "n1"), seen("r", "n2"), seen("f", "s1")}, 0);
   a.sites({{"n1", 1}, {"n2", 1}, {"s1", 1}});
-  Wish w = wish(a);
+  EndpointQuery w = wish(a);
   cr_assert_str_eq(a.at(*a.choose(w, 0).ix).id.c_str(), "z");
-  std::vector<PlaceIx> const homes{a.region("south")};
+  std::vector<LocationIndex> const homes{a.region("south")};
   w.homes = &homes;
   cr_assert_str_eq(a.at(*a.choose(w, 0).ix).id.c_str(), "f");
   a.evacuated({"s1"}, 0);
@@ -48,7 +48,7 @@
 
 Test(assign, what_is_gone_or_misdirected_gets_nothing) {
   Settings const st = settings();
-  Assign a(st);
+  LoadBalancer a(st);
   a.table({seen("z", "n1"), seen("r", "n2")}, 0);
   a.misdirected(*a.choose(wish(a), 0).ix);
   cr_assert_str_eq(a.at(*a.choose(wish(a), 0).ix).id.c_str(), "r");
@@ -62,12 +62,12 @@
   for (u32 n : {1u, 3u, 8u, 30u}) {
     Settings const st = settings();
     std::vector<std::unique_ptr<Settings>> sts;
-    std::vector<std::unique_ptr<Assign>> ps;
+    std::vector<std::unique_ptr<LoadBalancer>> ps;
     for (u32 i = 0; i < n; ++i) {
       sts.push_back(std::make_unique<Settings>(st));
       sts.back()->nodeName = "edge-" + std::to_string(i);
-      ps.push_back(std::make_unique<Assign>(*sts.back()));
-      ps[i]->rule(ps[i]->pool("p"), PoolRule{100, 10, 3});
+      ps.push_back(std::make_unique<LoadBalancer>(*sts.back()));
+      ps[i]->rule(ps[i]->pool("p"), ServiceLimits{100, 10, 3});
       ps[i]->sites({{"n1", i == 0 && n > 2 ? n - 1 : n}});
       ps[i]->table({seen("z", "n1", 30)}, 0);
     }
@@ -92,8 +92,8 @@
 
 Test(assign, zone_taken_back_counts_as_cold_until_beats_say_more) {
   Settings const st = settings();
-  Assign a(st);
-  a.rule(a.pool("p"), PoolRule{100, 10, 3});
+  LoadBalancer a(st);
+  a.rule(a.pool("p"), ServiceLimits{100, 10, 3});
   a.sites({{"n1", 1}});
   a.evacuated({"n1"}, 0);
   a.table({seen("z", "n1")}, 0);
@@ -118,14 +118,14 @@
   std::vector<RetryBudget> b;
   for (int i = 0; i < n; ++i)
     b.push_back(fresh());
-  std::vector<double> tries, errands;
+  std::vector<double> attempts, errands;
   for (double t = 0; t < 60; t += 0.01) {
     for (auto& x : b) {
       if (rnd() % 4 == 0 && !(t > 20 && t < 32)) {
         x.errand(t);
         errands.push_back(t);
       }
-      if (x.take(t, 1.0 / (n * 1.25))) tries.push_back(t);
+      if (x.take(t, 1.0 / (n * 1.25))) attempts.push_back(t);
     }
     if (std::abs(t - 30) < 0.005) b[0] = fresh();
   }
@@ -135,10 +135,10 @@
   for (double t = 0; t < 50; t += 0.25) {
     double const e =
         std::max({in(errands, t, t + window), in(errands, t - window, t), in(errands, t - window / 2, t + window / 2)});
-    cr_assert(in(tries, t, t + window) <= ratio * e + slack, "at %f: %f tries for %f errands", t,
-              in(tries, t, t + window), e);
+    cr_assert(in(attempts, t, t + window) <= ratio * e + slack, "at %f: %f tries for %f errands", t,
+              in(attempts, t, t + window), e);
   }
-  cr_assert(tries.size() > 100);
+  cr_assert(attempts.size() > 100);
 }
 
 // Channels of all proxies together stay under a server's limit, also when some
@@ -148,8 +148,8 @@
   for (u32 n : {4u, 9u, 40u}) {
     u32 sum = 0;
     for (u32 i = 0; i < n; ++i) {
-      Assign a(st);
-      a.rule(a.pool("p"), PoolRule{110, 10, 3});
+      LoadBalancer a(st);
+      a.rule(a.pool("p"), ServiceLimits{110, 10, 3});
       a.sites({{"n1", i == 0 ? n - 1 : n}});
       a.table({seen("z", "n1")}, 0);
       sum += a.chan_share(*a.choose(wish(a), 0).ix);
@@ -159,21 +159,21 @@
 }
 
 Test(assign, lower_ranks_make_way_first) {
-  cr_assert_not(make_way(0, 100, 0.3));
+  cr_assert_not(should_shed(0, 100, 0.3));
   for (u32 r = 1; r < 6; ++r) {
-    cr_assert_not(make_way(r, 0.3, 0.3), "what comes in time is never refused");
-    cr_assert(make_way(r, 1.0, 0.3));
+    cr_assert_not(should_shed(r, 0.3, 0.3), "what comes in time is never refused");
+    cr_assert(should_shed(r, 1.0, 0.3));
   }
-  cr_assert_not(make_way(1, 0.7, 0.3));
-  cr_assert(make_way(2, 0.7, 0.3));
+  cr_assert_not(should_shed(1, 0.7, 0.3));
+  cr_assert(should_shed(2, 0.7, 0.3));
 }
 
 // A full server and one that resets are left alone for a moment, then tried again.
 Test(assign, passive_health_shuns_and_forgives) {
   Settings const st = settings();
-  Assign a(st);
+  LoadBalancer a(st);
   a.table({seen("z", "n1")}, 0);
-  ServerIx const z = *a.choose(wish(a), 0).ix;
+  ServerIndex const z = *a.choose(wish(a), 0).ix;
   a.shun(z, 0.1, 0);
   cr_assert_not(a.choose(wish(a), 0.01).ix.has_value());
   cr_assert(a.choose(wish(a), 0.2).ix.has_value());
@@ -198,7 +198,7 @@
     try {
       parse_settings(ok + line + "\n");
       cr_assert(false, "%s passed", line.c_str());
-    } catch (BadSetting const& e) {
+    } catch (SettingsError const& e) {
       cr_assert_str_eq(e.field.c_str(), field.c_str());
     }
   }
@@ -208,11 +208,11 @@
 // and are tried again after a while.
 Test(assign, what_errands_show_outweighs_health) {
   Settings const st = settings();
-  Assign a(st);
+  LoadBalancer a(st);
   a.table({seen("grey", "n1"), seen("good", "n1"), seen("fine", "n1")}, 0);
   a.sites({{"n1", 1}});
   std::map<std::string, int> n;
-  Secs t = 0;
+  Seconds t = 0;
   for (int i = 0; i < 600; ++i) {
     t += 0.02;
     auto const c = a.choose(wish(a), t);
@@ -232,15 +232,15 @@
   for (int p = 0; p < 10; ++p) {
     Settings st = settings();
     st.nodeName = "edge-" + std::to_string(p);
-    Assign a(st);
-    std::vector<Assign::Seen> rows;
+    LoadBalancer a(st);
+    std::vector<LoadBalancer::Seen> rows;
     for (int i = 0; i < 40; ++i)
       rows.push_back(seen("s" + std::to_string(i), "n1"));
     a.table(rows, 0);
     a.sites({{"n1", 10}});
     std::map<std::string, int> mine;
     for (int i = 0; i < 400; ++i) {
-      Secs const t = i * 0.05;
+      Seconds const t = i * 0.05;
       auto const c = a.choose(wish(a), t);
       a.took(*c.ix, t);
       a.at(*c.ix).idle = 1;
@@ -257,9 +257,9 @@
 // errand may not repeat.
 Test(assign, idle_channels_found_reset_are_not_trusted) {
   Settings const st = settings();
-  Assign a(st);
+  LoadBalancer a(st);
   a.table({seen("x", "n1"), seen("y", "n1")}, 0);
-  ServerIx const x = *a.choose(wish(a), 0).ix, y(1 - x.v);
+  ServerIndex const x = *a.choose(wish(a), 0).ix, y(1 - x.v);
   a.idle_lost(x, 0.4, 10);
   cr_assert_lt(a.idle_safe(x, true, 11), 0.4);
   cr_assert_gt(a.idle_safe(y, true, 11), 10);
--- a/tests/model_checking/model_checking_test.cpp
+++ b/tests/model_checking/model_checking_test.cpp
@@ -5,65 +5,67 @@
 #include "model_checking/model_catalog.hpp"
 
 using namespace dockbend;
-using namespace dockbend::collation;
+using namespace dockbend::model_checking;
 
 namespace {
 Case const& sound(char const* model) {
-  return *find(model, no_fault);
+  return *find(model, kNoFault);
 }
-void no_breach(Outcome const& o, char const* model) {
+void no_breach(SearchResult const& o, char const* model) {
   cr_assert(o.breach.empty(), "%s: %s (seed %llu, %zu steps)", model, o.breach.c_str(),
             static_cast<unsigned long long>(o.seed), o.trace.size());
 }
 }  // namespace
 
 // Every order of events of two rounds by two proposers on three disks.
-Test(collation, two_rounds_in_every_order) {
-  Outcome const o = sound("registers").search(Plan{}, Search{100000, 100});
+Test(model_checking, two_rounds_in_every_order) {
+  SearchResult const o = sound("registers").search(Bounds{}, SearchLimits{100000, 100});
   no_breach(o, "registers");
   cr_assert(o.complete && o.states > 10000, "%llu states", static_cast<unsigned long long>(o.states));
 }
 
 // As far as the bound goes: a member joins or leaves while rounds, losses and claims go on.
-Test(collation, steps_of_the_roster_breadth_first) {
-  Outcome o =
-      sound("registers").search(read_plan("spares=1,joins=1,leaves=1,restarts=1,tells=1", Plan{}), Search{25000, 100});
+Test(model_checking, steps_of_the_roster_breadth_first) {
+  SearchResult o =
+      sound("registers")
+          .search(read_plan("spares=1,joins=1,leaves=1,restarts=1,tells=1", Bounds{}), SearchLimits{25000, 100});
   no_breach(o, "registers");
-  o = sound("ledgers").search(read_plan("spares=1,joins=2,leaves=1,wipes=1", Plan{}), Search{60000, 100});
+  o = sound("ledgers").search(read_plan("spares=1,joins=2,leaves=1,wipes=1", Bounds{}), SearchLimits{60000, 100});
   no_breach(o, "ledgers");
-  o = sound("duties").search(read_plan("nodes=2,ticks=9,swaps=1,restarts=1,drops=1", Plan{}), Search{60000, 100});
+  o = sound("duties").search(read_plan("nodes=2,ticks=9,swaps=1,restarts=1,drops=1", Bounds{}),
+                             SearchLimits{60000, 100});
   no_breach(o, "duties");
 }
 
-Test(collation, walks_end_with_all_promises_kept) {
+Test(model_checking, walks_end_with_all_promises_kept) {
   for (char const* m : {"registers", "ledgers", "duties"}) {
     Case const& c = sound(m);
-    no_breach(c.walk(c.plan, Walks{1, c.walks.count / 2, c.walks.length}), m);
+    no_breach(c.walk(c.plan, WalkLimits{1, c.walks.count / 2, c.walks.length}), m);
   }
   for (char const* bounds : {"nodes=4", "nodes=5"}) {
     Case const& c = sound("registers");
-    no_breach(c.walk(read_plan(bounds, c.plan), Walks{1, 150, 200}), bounds);
+    no_breach(c.walk(read_plan(bounds, c.plan), WalkLimits{1, 150, 200}), bounds);
   }
   for (char const* bounds : {"nodes=3", "nodes=4", "nodes=6"}) {
     Case const& c = sound("ledgers");
-    no_breach(c.walk(read_plan(bounds, c.plan), Walks{1, 300, 120}), bounds);
+    no_breach(c.walk(read_plan(bounds, c.plan), WalkLimits{1, 300, 120}), bounds);
   }
 }
 
 // Whatever is planted is found, and its trace plays again from its text.
-Test(collation, finds_every_planted_fault) {
+Test(model_checking, finds_every_planted_fault) {
   std::size_t found = 0;
   for (Case const& c : cases()) {
-    if (c.fault == no_fault || c.walks.count == 0) continue;
-    Outcome const o = c.walk(c.plan, c.walks);
-    cr_assert_not(o.breach.empty(), "%s was not found", c.fault.c_str());
-    Recorded const r = read_trace(write_trace(Recorded{&c, c.plan, o.seed, o.breach, o.trace}));
+    if (c.error_response == kNoFault || c.walks.count == 0) continue;
+    SearchResult const o = c.walk(c.plan, c.walks);
+    cr_assert_not(o.breach.empty(), "%s was not found", c.error_response.c_str());
+    RecordedTrace const r = read_trace(write_trace(RecordedTrace{&c, c.plan, o.seed, o.breach, o.trace}));
     cr_assert(r.of == &c && r.trace == o.trace && r.seed == o.seed);
-    Played const p = c.play(r.plan, r.trace);
+    Replay const p = c.play(r.plan, r.trace);
     cr_assert_str_eq(p.breach.c_str(), o.breach.c_str());
     // The same steps without the fault break nothing.
-    Played const q = sound(c.model.c_str()).play(r.plan, r.trace);
-    cr_assert(q.breach.empty(), "%s: %s", c.fault.c_str(), q.breach.c_str());
+    Replay const q = sound(c.model.c_str()).play(r.plan, r.trace);
+    cr_assert(q.breach.empty(), "%s: %s", c.error_response.c_str(), q.breach.c_str());
     ++found;
   }
   cr_assert_geq(found, 12u);
@@ -71,7 +73,7 @@
 
 // Five disks, E lost and replaced. Holder 1 has the votes of E's former life, of C, and of D,
 // which gave its own after the new disk had copied from it.
-Test(collation, faults_too_rare_for_walks_are_shown_by_a_trace) {
+Test(model_checking, faults_too_rare_for_walks_are_shown_by_a_trace) {
   std::string const lost =
       "step claim 0 4 0 0\nstep claim 0 2 0 0\nstep wipe 4 0 0 0\nstep ask_in 4 0 0 0\nstep step 0 0 0 0\n";
   std::string const won = "step move 0 0 0 0\nstep move 1 0 0 0\nstep move 2 0 0 0\nstep learn 4 0 0 0\n";
@@ -82,41 +84,42 @@
       {"copies-unmoved", lost + won + copied + both},
       {"copies-unsynced", lost + "step move 3 1 0 0\n" + won + copied + "step restart 3 0 0 0\n" + both}};
   for (Case const& c : cases()) {
-    if (c.fault == no_fault || c.walks.count > 0) continue;
-    cr_assert_eq(steps.count(c.fault), 1u, "%s is shown nowhere", c.fault.c_str());
-    auto const text = [&](std::string const& fault) {
-      return "model ledgers\nfault " + fault + "\nplan " + write_plan(c.plan) + "\n" + steps.at(c.fault);
+    if (c.error_response == kNoFault || c.walks.count > 0) continue;
+    cr_assert_eq(steps.count(c.error_response), 1u, "%s is shown nowhere", c.error_response.c_str());
+    auto const text = [&](std::string const& error_response) {
+      return "model ledgers\nfault " + error_response + "\nplan " + write_plan(c.plan) + "\n" +
+             steps.at(c.error_response);
     };
-    Recorded const bad = read_trace(text(c.fault)), good = read_trace(text(no_fault));
-    Played const p = bad.of->play(bad.plan, bad.trace), q = good.of->play(good.plan, good.trace);
-    cr_assert_str_eq(p.breach.c_str(), "two holders have won one key", "%s", c.fault.c_str());
-    cr_assert(q.breach.empty(), "%s: %s", c.fault.c_str(), q.breach.c_str());
+    RecordedTrace const bad = read_trace(text(c.error_response)), good = read_trace(text(kNoFault));
+    Replay const p = bad.of->play(bad.plan, bad.trace), q = good.of->play(good.plan, good.trace);
+    cr_assert_str_eq(p.breach.c_str(), "two holders have won one key", "%s", c.error_response.c_str());
+    cr_assert(q.breach.empty(), "%s: %s", c.error_response.c_str(), q.breach.c_str());
   }
 }
 
 // The breadth-first search ends with a trace that has no step too many.
-Test(collation, the_first_trace_found_is_the_shortest) {
+Test(model_checking, the_first_trace_found_is_the_shortest) {
   Case const& c = *find("registers", "wins-by-one-too-few");
-  Outcome const o = c.search(Plan{}, Search{100000, 100});
+  SearchResult const o = c.search(Bounds{}, SearchLimits{100000, 100});
   cr_assert_not(o.breach.empty());
   for (std::size_t i = 0; i < o.trace.size(); ++i) {
     Trace t = o.trace;
     t.erase(t.begin() + static_cast<long>(i));
-    Played const p = c.play(Plan{}, t);
+    Replay const p = c.play(Bounds{}, t);
     cr_assert(p.breach.empty() || p.settled);
   }
 }
 
-Test(collation, a_bad_trace_or_plan_is_refused) {
+Test(model_checking, a_bad_trace_or_plan_is_refused) {
   for (char const* bad :
        {"", "model registers\n", "model nothing\nfault none\n", "model registers\nfault none\nstep fly 0 0 0 0\n",
         "model registers\nfault none\nstep tell 0 0\n", "model registers\nfault none\nstep tell 0 -1 0 0\n",
         "model registers\nfault none\nplan nodes=99\n", "hello\n"})
-    cr_assert_throw(read_trace(bad), BadTrace, "%s", bad);
+    cr_assert_throw(read_trace(bad), TraceError, "%s", bad);
   for (char const* bad : {"nodes", "nodes=", "nodes=-3", "nodes=1", "legs=4", "nodes=7 spares=2"})
-    cr_assert_throw(read_plan(bad, Plan{}), BadTrace, "%s", bad);
+    cr_assert_throw(read_plan(bad, Bounds{}), TraceError, "%s", bad);
   // A step that names what is not there is left out.
-  Recorded const r =
+  RecordedTrace const r =
       read_trace("model registers\nfault none\nplan nodes=3\nstep deliver 0 1 0 17\nstep wipe 99 0 0 0\n");
   cr_assert(r.of->play(r.plan, r.trace).breach.empty());
 }
--- a/tests/planning/evacuation_forecast_test.cpp
+++ b/tests/planning/evacuation_forecast_test.cpp
@@ -16,8 +16,8 @@
 struct Town {
   struct Work {
     std::size_t proxy = 0, server = 0;
-    ServerIx ix;
-    Secs sent = 0;
+    ServerIndex ix;
+    Seconds sent = 0;
     int kind = 0;
     std::string key;
     bool upload = false;
@@ -30,18 +30,18 @@
   };
   struct Proxy {
     Settings st;
-    std::unique_ptr<Assign> as;
-    Observer ob;
+    std::unique_ptr<LoadBalancer> as;
+    TrafficObserver ob;
     std::string zone, region;
     double rate = 0;
   };
   struct Event {
-    Secs at = 0;
+    Seconds at = 0;
     int what = 0;  // 0 arrival at proxy, 1 answer
     Work w;
     bool operator<(Event const& o) const { return at > o.at; }
   };
-  static constexpr char const* lanes[] = {"read", "pay", "up"};
+  static constexpr char const* routes[] = {"read", "pay", "up"};
 
   Town(unsigned seed, double scale, double width_, int big) : rnd(seed), width(width_) {
     struct Z {
@@ -68,9 +68,9 @@
     }
     for (std::size_t k = 0; k < 5; ++k)
       disks.emplace_back(true);
-    std::vector<Assign::Seen> rows;
+    std::vector<LoadBalancer::Seen> rows;
     for (Server const& s : servers) {
-      Assign::Seen x;
+      LoadBalancer::Seen x;
       x.id = s.id;
       x.service = "p";
       x.address = "10.0.0.1:80";
@@ -86,15 +86,15 @@
       p.st.zone = p.zone;
       p.st.region = p.region;
       p.st.zones = zones;
-      p.as = std::make_unique<Assign>(p.st);
-      p.as->rule(p.as->pool("p"), PoolRule{200, 0, 0});
+      p.as = std::make_unique<LoadBalancer>(p.st);
+      p.as->rule(p.as->pool("p"), ServiceLimits{200, 0, 0});
       p.as->table(rows, 0);
       p.as->sites({{"n1", 2}, {"n2", 1}, {"s1", 1}});
       next(i, 0);
     }
   }
   double u(double a, double b) { return std::uniform_real_distribution<>(a, b)(rnd); }
-  void next(std::size_t i, Secs now) {
+  void next(std::size_t i, Seconds now) {
     Event e;
     e.at = now - std::log(1 - u(0, 1)) / proxies[i].rate;
     e.w.proxy = i;
@@ -107,42 +107,42 @@
     double const x = u(0, 1);
     e.w.kind = x < 0.6 ? 0 : x < 0.9 ? 1 : 2;
     e.w.upload = e.w.kind == 2;
-    p.ob.errand(lanes[e.w.kind], "p", {}, e.w.upload, e.at);
+    p.ob.errand(routes[e.w.kind], "p", {}, e.w.upload, e.at);
     ++came;
     if (e.w.kind == 1) {
       // A client that lost patience sends its key again, through another proxy at times.
       e.w.key = u(0, 1) < 0.1 && !keys.empty() ? keys[rnd() % keys.size()] : "k" + std::to_string(++made);
       keys.push_back(e.w.key);
-      Claim c;
+      ClaimRequest c;
       c.key = e.w.key;
       c.holder = rnd() | 1;
       c.epoch = Epoch(1);
       c.work_ms = 2000;
-      Quest quest(disks.size(), Epoch(1));
-      Quest::End end = Quest::End::open;
-      for (std::size_t d = 0; d < disks.size() && end == Quest::End::open; ++d) {
-        ClaimR r;
+      ClaimQuorum quest(disks.size(), Epoch(1));
+      ClaimQuorum::Result end = ClaimQuorum::Result::open;
+      for (std::size_t d = 0; d < disks.size() && end == ClaimQuorum::Result::open; ++d) {
+        ClaimResponse r;
         disks[d].claim(c, Epoch(1), e.at, r);
         disks[d].written(c.key, c.holder, true);
         end = quest.hear(std::to_string(d), r);
       }
-      if (end != Quest::End::granted) {
+      if (end != ClaimQuorum::Result::granted) {
         ++repeats;
         return;
       }
     }
-    Wish w;
+    EndpointQuery w;
     w.pool = p.as->pool("p");
     w.bulky = e.w.upload;
-    w.setpoint = 1;
-    Assign::Choice const ch = p.as->choose(w, e.at);
+    w.latency_target = 1;
+    LoadBalancer::Choice const ch = p.as->choose(w, e.at);
     if (!ch.ix) {
       unserved += e.at > count_from ? 1 : 0;
       if (e.w.kind == 1)
-        for (Ledger& d : disks) {  // nothing ran: the key is given back
+        for (KeyTable& d : disks) {  // nothing ran: the key is given back
           for (HeldKey const& h : d.all())
             if (h.key == e.w.key) {
-              Release r;
+              ReleaseRequest r;
               r.key = h.key;
               r.holder = h.holder;
               d.release(r);
@@ -156,7 +156,7 @@
       if (servers[i].id == p.as->at(*ch.ix).id) e.w.server = i;
     e.w.sent = e.at;
     Server& s = servers[e.w.server];
-    p.ob.sent(lanes[e.w.kind], s.zone, e.at);
+    p.ob.sent(routes[e.w.kind], s.zone, e.at);
     if (gone.count(s.zone) > 0) ++into_gone;
     if (!e.w.key.empty()) ++runs[e.w.key];
     uploads_begun += e.w.upload ? 1 : 0;
@@ -165,7 +165,7 @@
     else
       s.queue.push_back(e.w);
   }
-  void begin(Server& s, Work const& w, Secs now) {
+  void begin(Server& s, Work const& w, Seconds now) {
     ++s.busy;
     Event e;
     e.what = 1;
@@ -183,7 +183,7 @@
     s.queue.pop_front();
     begin(s, n, e.at);
   }
-  void run(Secs until, bool arrivals = true) {
+  void run(Seconds until, bool arrivals = true) {
     while (!q.empty() && q.top().at <= until) {
       Event const e = q.top();
       q.pop();
@@ -200,19 +200,19 @@
     for (Proxy& p : proxies)
       p.as->evacuated(z, now);
   }
-  Capture capture() const {
-    Capture c;
+  FleetSnapshot capture() const {
+    FleetSnapshot c;
     c.settled = true;
     c.beatPeriodS = 1;
     for (auto const& [z, g] : zones) {
-      CapZone x;
+      ZoneSnapshot x;
       x.zone = z;
       x.region = g;
       x.proxies = z == "n1" ? 2 : 1;
       c.zones.push_back(x);
     }
     for (Server const& s : servers) {
-      CapServer x;
+      ServerSnapshot x;
       x.id = s.id;
       x.service = "p";
       x.zone = s.zone;
@@ -221,25 +221,25 @@
       c.servers.push_back(x);
     }
     for (auto const& [n, k] : {std::pair{"read", "idempotent"}, {"pay", "keyed"}, {"up", "inflow"}}) {
-      CapLane l;
+      RouteSnapshot l;
       l.name = n;
       l.kind = k;
       l.setpointS = 1;
-      c.lanes.push_back(l);
+      c.routes.push_back(l);
     }
-    CapPool p;
+    ServiceSnapshot p;
     p.name = "p";
     p.connLimit = 200;
     c.pools.push_back(p);
     for (Proxy const& x : proxies) {
-      Survey v;
+      TrafficSurvey v;
       v.front = x.st.nodeName;
       v.zone = x.zone;
       v.region = x.region;
       x.ob.fill(v, now);
-      for (Target const& t : x.as->targets()) {
+      for (Endpoint const& t : x.as->targets()) {
         if (t.lat <= 0) continue;
-        Speed s;
+        ServerLatency s;
         s.id = t.id;
         s.lat = t.lat;
         s.dev = t.dev;
@@ -253,11 +253,11 @@
 
   std::mt19937 rnd;
   double width;
-  Secs now = 0, count_from = 1e18;
+  Seconds now = 0, count_from = 1e18;
   std::map<std::string, std::string> zones;
   std::vector<Server> servers;
   std::vector<Proxy> proxies;
-  std::vector<Ledger> disks;
+  std::vector<KeyTable> disks;
   std::priority_queue<Event> q;
   std::set<std::string> gone;
   std::vector<std::string> keys;
@@ -274,11 +274,11 @@
     Town t(seed, 1.5, 0.5, 4);
     t.run(30);
     std::string const zone = seed % 2 == 0 ? "n2" : "n1";
-    Forecast const f = forecast(t.capture(), {zone}, ForecastPlan{});
+    EvacuationForecast const f = forecast(t.capture(), {zone}, ForecastOptions{});
     cr_assert(f.fits, "seed %u", seed);
     t.evacuate({zone});
     t.run(42);
-    std::vector<Difference> d;
+    std::vector<ForecastDifference> d;
     double const off = compare(f, t.capture(), d);
     cr_assert_lt(off, 0.15, "seed %u: off by %.3f", seed, off);
     t.run(60, false);
@@ -298,13 +298,13 @@
     for (unsigned seed = 1; seed <= 6; ++seed) {
       Town t(seed, 3.9, width, 1);
       t.run(30);
-      Forecast const f = forecast(t.capture(), {"n1", "n2"}, ForecastPlan{});
+      EvacuationForecast const f = forecast(t.capture(), {"n1", "n2"}, ForecastOptions{});
       cr_assert_not(f.fits, "seed %u", seed);
       bool over = false;
-      for (ZoneLoad const& z : f.loads)
+      for (ZoneUtilization const& z : f.loads)
         over = over || (z.zone == "s1" && z.overloaded);
       cr_assert(over || !f.unserved.empty(), "seed %u: what finds no place is named", seed);
-      for (Unserved const& x : f.unserved)
+      for (UnservedRate const& x : f.unserved)
         said += x.rate;
       t.evacuate({"n1", "n2"});
       t.count_from = t.now + 6;
--- a/tests/planning/planning_test.cpp
+++ b/tests/planning/planning_test.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 // Three zones of uneven size in two regions, one proxy each.
-Capture town(double scale) {
-  Capture c;
+FleetSnapshot town(double scale) {
+  FleetSnapshot c;
   c.settled = true;
   c.beatPeriodS = 1;
   struct Z {
@@ -16,13 +16,13 @@
     double rate;
   };
   for (Z const z : {Z{"n1", "north", 6, 40}, Z{"n2", "north", 4, 20}, Z{"s1", "south", 8, 30}}) {
-    CapZone x;
+    ZoneSnapshot x;
     x.zone = z.zone;
     x.region = z.region;
     x.proxies = 1;
     c.zones.push_back(x);
     for (int i = 0; i < z.servers; ++i) {
-      CapServer s;
+      ServerSnapshot s;
       s.id = std::string(z.zone) + "-" + std::to_string(i);
       s.service = "p";
       s.zone = z.zone;
@@ -30,21 +30,21 @@
       s.ready = true;
       c.servers.push_back(s);
     }
-    Survey v;
+    TrafficSurvey v;
     v.front = std::string("front-") + z.zone;
     v.zone = z.zone;
     v.region = z.region;
     v.span = 10;
-    for (auto const& [lane, part] : {std::pair{"read", 0.6}, {"pay", 0.3}, {"home", 0.1}}) {
-      LaneRate l;
-      l.lane = lane;
+    for (auto const& [route, part] : {std::pair{"read", 0.6}, {"pay", 0.3}, {"home", 0.1}}) {
+      RouteRate l;
+      l.route = route;
       l.pool = "p";
       l.rate = z.rate * part * scale;
-      if (std::string(lane) == "home") l.homes = {"south"};
-      v.lanes.push_back(l);
+      if (std::string(route) == "home") l.homes = {"south"};
+      v.routes.push_back(l);
     }
     for (auto const& s : c.servers) {
-      Speed sp;
+      ServerLatency sp;
       sp.id = s.id;
       sp.lat = 0.1;
       v.speeds.push_back(sp);
@@ -52,31 +52,31 @@
     c.surveys.push_back(v);
   }
   for (auto const& [n, kind] : {std::pair{"read", "idempotent"}, {"pay", "keyed"}, {"home", "effectful"}}) {
-    CapLane l;
+    RouteSnapshot l;
     l.name = n;
     l.kind = kind;
     l.setpointS = 1;
     if (std::string(n) == "home") l.homes = {"south"};
-    c.lanes.push_back(l);
+    c.routes.push_back(l);
   }
-  CapPool p;
+  ServiceSnapshot p;
   p.name = "p";
   p.connLimit = 200;
   c.pools.push_back(p);
   return c;
 }
-double after(Forecast const& f, std::string const& zone, std::string const& lane) {
-  for (LaneFlow const& l : f.flows)
-    if (l.zone == zone && l.lane == lane) return l.after;
+double after(EvacuationForecast const& f, std::string const& zone, std::string const& route) {
+  for (RouteFlow const& l : f.flows)
+    if (l.zone == zone && l.route == route) return l.after;
   return 0;
 }
 }  // namespace
 
 Test(atlas, what_stays_takes_over_and_homes_bind) {
   for (u64 seed = 1; seed <= 5; ++seed) {
-    ForecastPlan p;
+    ForecastOptions p;
     p.seed = seed;
-    Forecast const f = forecast(town(1), {"n1"}, p);
+    EvacuationForecast const f = forecast(town(1), {"n1"}, p);
     cr_assert(f.fits, "seed %llu", static_cast<unsigned long long>(seed));
     cr_assert_eq(after(f, "n1", "read"), 0);
     double const all = after(f, "n2", "read") + after(f, "s1", "read");
@@ -88,78 +88,78 @@
 }
 
 Test(atlas, overload_and_homelessness_are_said) {
-  ForecastPlan p;
-  Forecast const f = forecast(town(5), {"s1"}, p);
+  ForecastOptions p;
+  EvacuationForecast const f = forecast(town(5), {"s1"}, p);
   cr_assert_not(f.fits);
   bool homeless = false, over = false;
-  for (Unserved const& u : f.unserved)
-    homeless = homeless || (u.lane == "home" && u.homeless);
-  for (ZoneLoad const& z : f.loads)
+  for (UnservedRate const& u : f.unserved)
+    homeless = homeless || (u.route == "home" && u.homeless);
+  for (ZoneUtilization const& z : f.loads)
     over = over || z.overloaded;
   cr_assert(homeless, "its only home is gone");
   cr_assert(over);
-  Forecast const calm = forecast(town(1), {}, p);
+  EvacuationForecast const calm = forecast(town(1), {}, p);
   cr_assert(calm.fits);
 }
 
 // A partner whose home is the zone's region alone is homeless without it, on a lane
 // that others may use anywhere.
 Test(atlas, partners_homes_bind_too) {
-  Capture c = town(1);
-  LaneRate l;
-  l.lane = "read";
+  FleetSnapshot c = town(1);
+  RouteRate l;
+  l.route = "read";
   l.pool = "p";
   l.rate = 5;
   l.homes = {"south"};
-  c.surveys[0].lanes.push_back(l);
-  Forecast const f = forecast(c, {"s1"}, ForecastPlan{});
+  c.surveys[0].routes.push_back(l);
+  EvacuationForecast const f = forecast(c, {"s1"}, ForecastOptions{});
   bool read = false;
-  for (Unserved const& u : f.unserved)
-    read = read || (u.lane == "read" && u.homeless);
+  for (UnservedRate const& u : f.unserved)
+    read = read || (u.route == "read" && u.homeless);
   cr_assert(read);
-  cr_assert(forecast(c, {"n2"}, ForecastPlan{}).fits);
+  cr_assert(forecast(c, {"n2"}, ForecastOptions{}).fits);
 }
 
 Test(atlas, a_partial_capture_is_said_so) {
-  Capture c = town(1);
+  FleetSnapshot c = town(1);
   c.silent = {"front-x"};
-  cr_assert(forecast(c, {"n1"}, ForecastPlan{}).partial);
+  cr_assert(forecast(c, {"n1"}, ForecastOptions{}).partial);
 }
 
 // What a forecast says against what the same proxies then do, by the servers' own
 // count: another seed, so other chances.
 Test(atlas, predicted_against_received) {
   for (u64 seed = 1; seed <= 6; ++seed) {
-    ForecastPlan a, b;
+    ForecastOptions a, b;
     a.seed = seed;
     b.seed = seed + 100;
     b.seconds = 60;
-    Forecast const f = forecast(town(2), {"n2"}, a), g = forecast(town(2), {"n2"}, b);
-    Capture then;
-    Survey s;
-    for (LaneFlow const& l : g.flows) {
-      SentRate x;
-      x.lane = l.lane;
+    EvacuationForecast const f = forecast(town(2), {"n2"}, a), g = forecast(town(2), {"n2"}, b);
+    FleetSnapshot then;
+    TrafficSurvey s;
+    for (RouteFlow const& l : g.flows) {
+      ZoneSendRate x;
+      x.route = l.route;
       x.zone = l.zone;
       x.rate = l.after;
       s.sent.push_back(x);
     }
     then.surveys.push_back(s);
-    std::vector<Difference> d;
+    std::vector<ForecastDifference> d;
     double const off = compare(f, then, d);
     cr_assert_lt(off, 0.1, "seed %llu: %.3f", static_cast<unsigned long long>(seed), off);
   }
 }
 
 Test(atlas, rates_are_of_whole_seconds_and_fade) {
-  Observer o;
+  TrafficObserver o;
   for (int i = 0; i < 300; ++i)
     o.errand("l", "p", {}, i % 3 == 0, 100 + i * 0.1);
-  Survey s;
+  TrafficSurvey s;
   o.fill(s, 130);
-  cr_assert_float_eq(s.lanes[0].rate, 10, 0.2);
-  cr_assert_float_eq(s.lanes[0].bulky, 0.33, 0.02);
-  Survey late;
+  cr_assert_float_eq(s.routes[0].rate, 10, 0.2);
+  cr_assert_float_eq(s.routes[0].bulky, 0.33, 0.02);
+  TrafficSurvey late;
   o.fill(late, 150);
-  cr_assert(late.lanes.empty());
+  cr_assert(late.routes.empty());
 }
--- a/tests/process/program_test.cpp
+++ b/tests/process/program_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 // Two timers of one loop turn; a SIGTERM arrives in the first.
 struct Turn {
-  event_base* eb = event_base_new();
-  Request request{"a", false, Course(true, 3, 10)};
+  event_base* loop = event_base_new();
+  RequestMachine request{"a", false, RetryState(true, 3, 10)};
   bool draining = false, timer_ran = false, broken_off = false;
 };
 }  // namespace
@@ -23,30 +23,30 @@
   t.request.admitted();
   t.request.began(0, 1, 0.25);
   {
-    Watch w(t.eb);
+    ProcessSignals w(t.loop);
     cr_assert_not(term_arrived());
     w.on_term.connect([&] {
       t.draining = true;
-      event_base_loopbreak(t.eb);
+      event_base_loopbreak(t.loop);
     });
     event* const first = event_new(
-        t.eb, -1, 0, [](evutil_socket_t, short, void*) { raise(SIGTERM); }, nullptr);
+        t.loop, -1, 0, [](evutil_socket_t, short, void*) { raise(SIGTERM); }, nullptr);
     event* const second = event_new(
-        t.eb, -1, 0,
+        t.loop, -1, 0,
         [](evutil_socket_t, short, void* p) {
           Turn& u = *static_cast<Turn*>(p);
           u.timer_ran = true;
           cr_assert_not(u.draining, "the loop has not handled the signal yet");
           cr_assert(term_arrived());
           bool const terminating = u.draining || term_arrived();
-          cr_assert(u.request.course().due(2, true, true, terminating) == Course::Due::wait);
+          cr_assert(u.request.course().due(2, true, true, terminating) == RetryState::Due::wait);
           u.broken_off = u.request.replace_attempt(
               2, terminating, [] { return true; }, [] { return true; });
         },
         &t);
     event_active(first, EV_TIMEOUT, 1);
     event_active(second, EV_TIMEOUT, 1);
-    event_base_dispatch(t.eb);
+    event_base_dispatch(t.loop);
     cr_assert(t.timer_ran);
     cr_assert_not(t.broken_off);
     cr_assert(t.draining, "the signal still reaches its event");
@@ -58,5 +58,5 @@
   sigaction(SIGTERM, nullptr, &after);
   cr_assert(after.sa_handler == before.sa_handler, "the handler from before is back");
   cr_assert_not(term_arrived());
-  event_base_free(t.eb);
+  event_base_free(t.loop);
 }
--- a/tests/quorum_contact/quorum_contact_test.cpp
+++ b/tests/quorum_contact/quorum_contact_test.cpp
@@ -14,31 +14,31 @@
 // Nodes that ask each other over a simulated network: letters take `way`, some ways are cut
 // without a word, a frozen node reads what waits for it only when it thaws.
 struct Town {
-  struct Letter {
-    Secs at = 0;
+  struct Message {
+    Seconds at = 0;
     std::string from, to;
     bool answer = false;
     u32 number = 0;
-    ProbeR r;
+    ContactProbeResponse r;
   };
   struct Node {
-    Contact<> c;
-    Ballot bal;
-    Life life{1};
+    QuorumContact<> c;
+    Ballot ballot;
+    Incarnation incarnation{1};
     bool frozen = false;
     std::vector<std::string> near_first;
   };
 
-  explicit Town(int n, Secs w = 0.03) : way(w) {
+  explicit Town(int n, Seconds w = 0.03) : way(w) {
     for (int i = 0; i < n; ++i)
-      nodes[ip(i)].c = Contact<>(ContactPlan::of(Bounds()), ip(i), static_cast<u32>(1000 * i));
+      nodes[ip(i)].c = QuorumContact<>(ContactOptions::of(Bounds()), ip(i), static_cast<u32>(1000 * i));
     for (auto& [me, x] : nodes) {
-      std::vector<Contact<>::Voter> v;
+      std::vector<QuorumContact<>::Voter> v;
       for (auto const& [o, y] : nodes) {
-        v.push_back({o, Life(1)});
+        v.push_back({o, Incarnation(1)});
         if (o != me) x.near_first.push_back(o);
       }
-      x.c.members(v, Life(1));
+      x.c.members(v, Incarnation(1));
     }
     run(2);
   }
@@ -55,26 +55,26 @@
       if (i != a && in) cut(i, a, false);
     }
   }
-  void send(Letter l) {
+  void send(Message l) {
     l.at = now + way;
     if (ways_cut.count({l.from, l.to}) == 0) bag.push_back(l);
   }
   void step() {
     now += 0.01;
     ++turn;
-    std::vector<Letter> later, due;
-    for (Letter& l : bag)
+    std::vector<Message> later, due;
+    for (Message& l : bag)
       (l.at <= now && !nodes.at(l.to).frozen ? due : later).push_back(l);
     bag = later;
-    for (Letter const& l : due) {
+    for (Message const& l : due) {
       Node& n = nodes.at(l.to);
       if (l.answer) {
         n.c.answered(l.from, l.number, l.r);
         continue;
       }
-      ProbeR r;
-      r.life = n.life;
-      r.bal = n.bal;
+      ContactProbeResponse r;
+      r.incarnation = n.incarnation;
+      r.ballot = n.ballot;
       r.left = n.c.left(now);
       send({0, l.to, l.from, true, l.number, r});
     }
@@ -92,9 +92,9 @@
   }
   // All the while, `stay` are in contact. True if none of `out` is at the end, nor was from
   // `bound` after the beginning on.
-  bool run(Secs t, std::set<int> stay = {}, std::set<int> out = {}) {
+  bool run(Seconds t, std::set<int> stay = {}, std::set<int> out = {}) {
     bool good = true;
-    Secs const from = now, bound = ContactPlan::of(Bounds()).bound;
+    Seconds const from = now, bound = ContactOptions::of(Bounds()).bound;
     while (now < from + t) {
       step();
       for (int i : stay)
@@ -105,17 +105,17 @@
     return good;
   }
 
-  Secs way, now = 100;
+  Seconds way, now = 100;
   int turn = 0, asked = 0;
   std::map<std::string, Node> nodes;
-  std::vector<Letter> bag;
+  std::vector<Message> bag;
   std::set<std::pair<std::string, std::string>> ways_cut;
 };
 
-ProbeR said(u64 bal, Secs left = 1, u64 life = 1) {
-  ProbeR r;
-  r.life = Life(life);
-  r.bal = Ballot(bal);
+ContactProbeResponse said(u64 ballot, Seconds left = 1, u64 incarnation = 1) {
+  ContactProbeResponse r;
+  r.incarnation = Incarnation(incarnation);
+  r.ballot = Ballot(ballot);
   r.left = left;
   return r;
 }
@@ -180,10 +180,10 @@
 // An answer fits one question, of this life and over the connection it was asked over; a disk
 // that was replaced is not the member that the roster names.
 Test(contact, answers_of_an_earlier_life_count_nothing) {
-  Contact<> old(ContactPlan(), "a", 7);
+  QuorumContact<> old(ContactOptions(), "a", 7);
   u32 const before = old.ask("b", 0);
-  Contact<> c(ContactPlan(), "a", 5000);
-  c.members({{"a", Life(1)}, {"b", Life(1)}}, Life(1));
+  QuorumContact<> c(ContactOptions(), "a", 5000);
+  c.members({{"a", Incarnation(1)}, {"b", Incarnation(1)}}, Incarnation(1));
   c.ask("b", 1);
   cr_assert_not(c.answered("b", before, said(0)));
   cr_assert_not(c.answered("b", 0, said(0)));
@@ -203,8 +203,8 @@
 
 // A member answers, but knows of a change that we don't: what we would serve is old.
 Test(contact, who_lacks_what_members_know_is_not_in_contact) {
-  Contact<> c(ContactPlan(), "a", 1);
-  c.members({{"a", Life(1)}, {"b", Life(1)}, {"c", Life(1)}}, Life(1));
+  QuorumContact<> c(ContactOptions(), "a", 1);
+  c.members({{"a", Incarnation(1)}, {"b", Incarnation(1)}, {"c", Incarnation(1)}}, Incarnation(1));
   c.knows(Ballot(4));
   cr_assert(c.answered("b", c.ask("b", 10), said(5)));
   cr_assert_not(c.in_contact(10.1));
@@ -237,8 +237,8 @@
   for (double const apply : {1.5, 2.5, 4.0, 10.0}) {
     Bounds b;
     b.applyBoundS = apply;
-    ContactPlan const p = ContactPlan::of(b);
-    Secs const tick = 0.1, way = 0.05;
+    ContactOptions const p = ContactOptions::of(b);
+    Seconds const tick = 0.1, way = 0.05;
     cr_assert_leq(p.bound + tick + 4 * way, apply * 0.81);      // agents are fed by another
     cr_assert_lt(p.pace + tick + 2 * way, p.widen + 2 * tick);  // in calm times few widen for long
     cr_assert_lt(p.widen + tick + 2 * way, p.bound);            // and widening comes in time
@@ -249,13 +249,13 @@
 // applyBoundS, and goes back when they are in contact to stay.
 Test(contact, an_agent_leaves_feeders_that_are_out_of_contact) {
   Town t(5);
-  std::map<std::string, Said> word;
+  std::map<std::string, ReportedContact> word;
   std::vector<std::string> fed;
-  auto const live = [&](Secs for_s) {  // it hears a feeder at once when that changes, others each 0.6 s
-    for (Secs const from = t.now; t.now < from + for_s;) {
+  auto const live = [&](Seconds for_s) {  // it hears a feeder at once when that changes, others each 0.6 s
+    for (Seconds const from = t.now; t.now < from + for_s;) {
       t.step();
       if (t.turn % 10 != 0) continue;
-      std::vector<Candidate> v;
+      std::vector<ControllerCandidate> v;
       for (int i = 0; i < 5; ++i) {
         bool const feeds = std::find(fed.begin(), fed.end(), Town::ip(i)) != fed.end();
         if (feeds || t.turn % 60 == 0) word[Town::ip(i)].hear(t.in(i), t.now);
@@ -283,7 +283,7 @@
 }
 
 Test(contact, who_comes_and_goes_is_not_gone_back_to_each_time) {
-  Said s(1.2);
+  ReportedContact s(1.2);
   cr_assert_eq(s.rank(0, false), 1);
   s.hear(true, 0);
   cr_assert_eq(s.rank(0, false), 0);  // never out: believed at once
@@ -301,8 +301,8 @@
   for (unsigned seed = 1; seed <= 6; ++seed) {
     std::mt19937 rnd(seed);
     Town t(5);
-    Secs const bound = ContactPlan::of(Bounds()).bound;
-    std::map<int, Secs> reached;  // when it last had both ways to a majority
+    Seconds const bound = ContactOptions::of(Bounds()).bound;
+    std::map<int, Seconds> reached;  // when it last had both ways to a majority
     for (int turn = 0; turn < 6000; ++turn) {
       if (rnd() % 60 == 0) t.cut(static_cast<int>(rnd() % 5), static_cast<int>(rnd() % 5), rnd() % 2 == 0);
       if (rnd() % 400 == 0) t.ways_cut.clear();
--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -14,11 +14,11 @@
 // Gateways, a lender and letters between them on one simulated clock.
 struct Town {
   struct Gate {
-    std::unique_ptr<Borrower> b;
+    std::unique_ptr<QuotaClient> b;
     bool up = true, cut = false;
     double rate = 0, low = 0;  // errands a second of partner "a"
     double other = 0;          // and of partner "b"
-    u64 life = 0;
+    u64 incarnation = 0;
     struct Parked {
       std::string tenant;
       bool high = true;
@@ -26,36 +26,36 @@
     };
     std::vector<Parked> parked;  // wait for the lender's next answer
   };
-  struct Letter {
-    Secs at = 0;
+  struct Message {
+    Seconds at = 0;
     bool ask = true;
     std::size_t gate = 0;
-    u64 life = 0;
-    LoanAsk a;
-    LoanRet r;
+    u64 incarnation = 0;
+    QuotaLeaseRequest a;
+    QuotaLeaseResponse r;
   };
-  Town(unsigned seed, std::size_t n, BudgetRule rule) : rnd(seed), rule(rule) {
+  Town(unsigned seed, std::size_t n, QuotaRule rule) : rnd(seed), rule(rule) {
     gates.resize(n);
     for (std::size_t i = 0; i < n; ++i)
       start(i);
     lender.open(0);
     rules(0);
   }
-  void rules(Secs at) {
+  void rules(Seconds at) {
     for (char const* t : {"a", "b"})
       lender.rule(t, rule, static_cast<double>(gates.size()), at);
   }
   double u() { return std::uniform_real_distribution<>(0, 1)(rnd); }
   void start(std::size_t i) {
     Gate& g = gates[i];
-    g.life = ++lives;
-    g.b = std::make_unique<Borrower>(g.life, "gate-" + std::to_string(i));
+    g.incarnation = ++lives;
+    g.b = std::make_unique<QuotaClient>(g.incarnation, "gate-" + std::to_string(i));
     for (char const* t : {"a", "b"})
       g.b->rule(t, rule, static_cast<double>(gates.size()), now);
     g.parked.clear();
     g.up = true;
   }
-  void step(Secs dt) {
+  void step(Seconds dt) {
     now += dt;
     rules(now);
     for (std::size_t k = 0; k < letters.size();) {
@@ -63,14 +63,14 @@
         ++k;
         continue;
       }
-      Letter const l = letters[k];
+      Message const l = letters[k];
       letters.erase(letters.begin() + static_cast<long>(k));
       Gate& g = gates[l.gate];
       if (g.cut) continue;
       if (l.ask) {
         ++asks;
         if (!lender_up) continue;
-        Letter back{now + 0.005 + 0.06 * u(), false, l.gate, l.life, {}, lender.ask(l.a, now)};
+        Message back{now + 0.005 + 0.06 * u(), false, l.gate, l.incarnation, {}, lender.ask(l.a, now)};
         letters.push_back(back);
         if (u() < 0.02) letters.push_back(back);  // said twice
       } else if (g.up) {
@@ -88,7 +88,7 @@
     for (std::size_t i = 0; i < gates.size(); ++i) {
       Gate& g = gates[i];
       if (!g.up) continue;
-      auto tries = [&](std::string const& t, double rate, bool high) {
+      auto attempts = [&](std::string const& t, double rate, bool high) {
         double n = rate * dt;
         while (n > 0 && (n >= 1 || u() < n)) {
           n -= 1;
@@ -96,15 +96,15 @@
           go(g, t, high, false);
         }
       };
-      tries("a", g.rate, true);
-      tries("a", g.low, false);
-      tries("b", g.other, true);
+      attempts("a", g.rate, true);
+      attempts("a", g.low, false);
+      attempts("b", g.other, true);
       if (g.b->due(now)) {
-        LoanAsk const a = g.b->ask(now);
+        QuotaLeaseRequest const a = g.b->ask(now);
         if (a.wants.empty())
           g.b->lost();
         else
-          letters.push_back(Letter{now + 0.005 + 0.06 * u(), true, i, g.life, a, {}});
+          letters.push_back(Message{now + 0.005 + 0.06 * u(), true, i, g.incarnation, a, {}});
       }
     }
   }
@@ -129,7 +129,7 @@
   }
   // The most that was spent over any span, against what the budget allows.
   double worst(std::string const& t = "a") {
-    std::deque<Secs> const& spent = all_spent[t];
+    std::deque<Seconds> const& spent = all_spent[t];
     double w = 0;
     for (std::size_t i = 0; i < spent.size(); i += 7)
       for (std::size_t j = i; j < spent.size(); j += 7) {
@@ -139,14 +139,14 @@
     return w;
   }
   std::mt19937 rnd;
-  BudgetRule rule;
-  Secs now = 0;
+  QuotaRule rule;
+  Seconds now = 0;
   u64 lives = 0;
   bool lender_up = true;
-  Lender lender;
+  QuotaAllocator lender;
   std::vector<Gate> gates;
-  std::vector<Letter> letters;
-  std::map<std::string, std::deque<Secs>> all_spent;
+  std::vector<Message> letters;
+  std::map<std::string, std::deque<Seconds>> all_spent;
   std::size_t asks = 0;
   std::map<std::string, std::size_t> asked;
   double spent_high = 0, spent_low = 0;
@@ -158,7 +158,7 @@
 // replaced: over every span the partner gets its budget and no more.
 Test(allowance, a_surge_is_held_over_every_span_whatever_is_lost) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
-    Town t(seed, 8, BudgetRule{50, 40, 0});
+    Town t(seed, 8, QuotaRule{50, 40, 0});
     for (auto& g : t.gates) {
       g.rate = 30;  // 240 a second want in
       g.other = 4;  // another partner, well within its own budget
@@ -170,7 +170,7 @@
       if (t.now > 9 && t.now < 9.02 && !t.gates[2].up) t.start(2);
       if (t.now > 11 && t.now < 11.02) {  // the lender is lost; its successor waits
         t.lender_up = false;
-        t.lender = Lender();
+        t.lender = QuotaAllocator();
         t.lender.open(t.now + 1.4);
       }
       if (t.now > 11.5) t.lender_up = true;
@@ -183,7 +183,7 @@
     double const share = static_cast<double>(t.all_spent["b"].size()) / static_cast<double>(t.asked["b"]);
     cr_assert_gt(share, 0.8, "seed %u: %.3f", seed, share);
     std::size_t calm = 0;
-    for (Secs const s : t.all_spent["a"])
+    for (Seconds const s : t.all_spent["a"])
       calm += s > 2 && s < 6 ? 1 : 0;
     cr_assert_gt(static_cast<double>(calm), 0.75 * 50 * 4, "seed %u: the budget is of use, %zu", seed, calm);
   }
@@ -191,7 +191,7 @@
 
 // While nothing fails, a surge of one partner takes nothing from another.
 Test(allowance, a_surge_takes_nothing_from_other_partners) {
-  Town t(9, 8, BudgetRule{50, 40, 0});
+  Town t(9, 8, QuotaRule{50, 40, 0});
   for (auto& g : t.gates) {
     g.rate = 60;
     g.other = 4;
@@ -204,12 +204,12 @@
 }
 
 Test(allowance, one_hot_gateway_uses_nearly_all) {
-  Town t(3, 20, BudgetRule{100, 50, 0});
+  Town t(3, 20, QuotaRule{100, 50, 0});
   t.gates[5].rate = 300;
   while (t.now < 12)
     t.step(0.01);
   std::size_t n = 0;
-  for (Secs const s : t.all_spent["a"])
+  for (Seconds const s : t.all_spent["a"])
     n += s > 2 ? 1 : 0;
   cr_assert_gt(static_cast<double>(n), 0.8 * 100 * 10, "%zu", n);
   cr_assert_leq(t.worst(), 1.0);
@@ -217,7 +217,7 @@
 
 Test(allowance, a_reserve_keeps_reads_from_starving_confirmations) {
   for (double const reserve : {0.0, 0.5}) {
-    Town t(4, 4, BudgetRule{40, 40, reserve});
+    Town t(4, 4, QuotaRule{40, 40, reserve});
     for (auto& g : t.gates) {
       g.low = 100;
       g.rate = 4;
@@ -232,10 +232,10 @@
 
 // Letters follow the gateways that are in use, not gateways x partners.
 Test(allowance, idle_gateways_ask_nothing) {
-  Town t(5, 50, BudgetRule{50, 50, 0});
+  Town t(5, 50, QuotaRule{50, 50, 0});
   for (int k = 0; k < 100; ++k)
     for (auto& g : t.gates)
-      g.b->rule("idle-" + std::to_string(k), BudgetRule{10, 10, 0}, 50, 0);
+      g.b->rule("idle-" + std::to_string(k), QuotaRule{10, 10, 0}, 50, 0);
   t.gates[0].rate = 10;
   while (t.now < 10)
     t.step(0.01);
--- a/tests/request/admission_test.cpp
+++ b/tests/request/admission_test.cpp
@@ -18,32 +18,33 @@
 {"name":"s2","healthPath":"/health","connLimit":110,"selfDedupes":true,"coldS":3.0,"coldRateS":9.9,"generation":"00000007"}]},"remove":{"routes":[]}})";
 
 struct Call {
-  Heads heads{{"Host", "A.example:80"}, {"X-Attempt-Id", "a1"}, {"X-Operation-Key", "k"}, {"X-Time-Left", "700"}};
+  Headers heads{{"Host", "A.example:80"}, {"X-Attempt-Id", "a1"}, {"X-Operation-Key", "k"}, {"X-Time-Left", "700"}};
   std::string target = "/p/q/x?y";
   std::size_t body = 0;
   bool chunks = false, drains = false, known = true;
 };
-Admission play(std::function<void(Call&)> spoil = [](Call&) {}) {
-  std::map<std::string, Item> items;
+AdmissionResult play(std::function<void(Call&)> spoil = [](Call&) {}) {
+  std::map<std::string, ConfigItem> items;
   std::string f;
   join(items, read_amend(call), f);
-  Compiled man;
+  CompiledConfiguration man;
   for (auto const& [k, i] : items)
     man.put(i);
   Call c;
   spoil(c);
-  return admit(Arrival{c.heads, c.target, c.body, c.chunks}, c.known ? &man : nullptr, man.limits(), c.drains, 0.95);
+  return admit(IncomingRequest{c.heads, c.target, c.body, c.chunks}, c.known ? &man : nullptr, man.limits(), c.drains,
+               0.95);
 }
 }  // namespace
 
 Test(arrival, a_good_request_has_its_route_key_homes_and_time) {
-  Admission const a = play();
+  AdmissionResult const a = play();
   cr_assert(a.ok.has_value());
-  cr_assert(a.id == "a1" && a.ok->lane->name == "r2" && a.ok->key == "k" && *a.ok->service == "s1");
+  cr_assert(a.id == "a1" && a.ok->route->name == "r2" && a.ok->key == "k" && *a.ok->service == "s1");
   cr_assert(a.ok->homes == std::vector<std::string>{"north"});
   cr_assert_not(a.ok->repeatable || a.ok->upload);
   cr_assert_float_eq(a.ok->left, 0.7, 1e-9);
-  Admission const b = play([](Call& c) { c.target = "/p/x"; });
+  AdmissionResult const b = play([](Call& c) { c.target = "/p/x"; });
   cr_assert(b.ok && b.ok->repeatable && b.ok->key.empty() && *b.ok->service == "s2", "the draw picks the second");
 }
 
@@ -72,7 +73,7 @@
       {503, [](Call& c) { c.drains = true; }},
   };
   for (M const& m : ms) {
-    Admission const a = play(m.spoil);
+    AdmissionResult const a = play(m.spoil);
     cr_assert(!a.ok && a.no.code == m.code, "%d, not %d", a.no.code, m.code);
   }
 }
--- a/tests/request/request_machine_test.cpp
+++ b/tests/request/request_machine_test.cpp
@@ -55,7 +55,7 @@
   static constexpr bool cuts = true;  // a channel that is let go sends and hears nothing more
 };
 
-template <class P = Rules, class S = Shell>
+template <class P = RequestRules, class S = Shell>
 class World {
  public:
   struct Req;
@@ -69,10 +69,10 @@
     typename Table::Handle h;
     u32 tag = 0;
     Conn* chan = nullptr;
-    BasicRequest<P> core;
+    BasicRequestMachine<P> core;
     std::string id, key;
     u64 holder = 0;
-    std::set<int> tried;
+    std::set<int> attempted;
   };
 
   std::string broken;  // the invariant that did not hold
@@ -188,7 +188,7 @@
     auto r = std::make_unique<Req>();
     r->id = id;
     r->key = s == Sort::keyed ? key : "";
-    r->core = BasicRequest<P>(id, s == Sort::keyed, Course(s == Sort::idempotent, 3, now_ + 2));
+    r->core = BasicRequestMachine<P>(id, s == Sort::keyed, RetryState(s == Sort::idempotent, 3, now_ + 2));
     if (s != Sort::idempotent) once_.insert(id);
     Req& q = table_.open(std::move(r));
     typename Table::Handle const h = q.h;
@@ -224,24 +224,24 @@
   void timer(Req& q) {
     bool const sent = q.chan != nullptr && q.chan->sent;
     switch (q.core.course().due(now_, q.chan != nullptr, sent, draining_)) {
-      case Course::Due::expired: let_go(q); return carry(q, q.core.expired(sent));
-      case Course::Due::unsent: return ended(q, End::unsent);
-      case Course::Due::late: {
+      case RetryState::Due::expired: let_go(q); return carry(q, q.core.expired(sent));
+      case RetryState::Due::unsent: return ended(q, AttemptResult::unsent);
+      case RetryState::Due::late: {
         int s = 3;
         auto const reserve = [&] { return (s = choose(q)) <= 2; };
         if (!q.core.replace_attempt(now_, draining_, reserve, [] { return true; })) return;
         let_go(q);
         return attempt_at(q, s);
       }
-      case Course::Due::wait: return;
+      case RetryState::Due::wait: return;
     }
   }
-  void carry(Req& q, Step const& s) {
-    if (s.claim == ClaimEnd::not_run || s.claim == ClaimEnd::lost) tell(q, s.claim);
+  void carry(Req& q, RequestAction const& s) {
+    if (s.claim == ClaimDisposition::not_run || s.claim == ClaimDisposition::lost) tell(q, s.claim);
     switch (s.what) {
-      case Step::Do::claim: return ask(q);
-      case Step::Do::choose: return attempt(q);
-      case Step::Do::say: answer(q.id, s.verdict.code, ""); return table_.close(q);
+      case RequestAction::Do::claim: return ask(q);
+      case RequestAction::Do::choose: return attempt(q);
+      case RequestAction::Do::say: answer(q.id, s.verdict.code, ""); return table_.close(q);
       default: return;
     }
   }
@@ -252,7 +252,7 @@
   }
   static int choose(Req const& q) {
     int s = 0;
-    while (q.tried.count(s) > 0)
+    while (q.attempted.count(s) > 0)
       ++s;
     return s;
   }
@@ -262,7 +262,7 @@
     attempt_at(q, s);
   }
   void attempt_at(Req& q, int s) {
-    q.tried.insert(s);
+    q.attempted.insert(s);
     Conn* c = nullptr;
     for (auto& x : conns_)
       if (x->server == s && !x->busy && !x->dead) c = x.get();
@@ -297,7 +297,7 @@
     if (S::cuts) q.chan->dead = true;
     q.chan = nullptr;
   }
-  void ended(Req& q, End e) {
+  void ended(Req& q, AttemptResult e) {
     let_go(q);
     carry(q, q.core.ended(e, now_, 0.1, [] { return true; }));
   }
@@ -305,9 +305,10 @@
     if (c.dead) return;
     c.dead = true;
     if (!c.busy) return;
-    if (Req* const q = table_.on(Table::Handle::of(c.owner), &c)) ended(*q, c.sent ? End::broken : End::unsent);
+    if (Req* const q = table_.on(Table::Handle::of(c.owner), &c))
+      ended(*q, c.sent ? AttemptResult::broken : AttemptResult::unsent);
   }
-  void came(Conn& c, Reply const& r, std::string const& run_of) {
+  void came(Conn& c, UpstreamResponse const& r, std::string const& run_of) {
     if (c.dead) return;
     if (!c.busy) {  // bytes on an idle channel
       c.dead = true;
@@ -315,21 +316,21 @@
     }
     Req* const q = table_.on(Table::Handle::of(c.owner), &c);
     if (q == nullptr) return;
-    End const e = q->core.judge(r).end;
-    if (e != End::whole) return ended(*q, e);
+    AttemptResult const e = q->core.judge(r).end;
+    if (e != AttemptResult::whole) return ended(*q, e);
     q->chan = nullptr;
     c.busy = false;
-    Step const s = q->core.ended(e, now_, 0.1, [] { return true; });
-    if (s.claim == ClaimEnd::returned) tell(*q, s.claim);
+    RequestAction const s = q->core.ended(e, now_, 0.1, [] { return true; });
+    if (s.claim == ClaimDisposition::returned) tell(*q, s.claim);
     if (r.code < 300 && r.body != 4) fail("an answer that ends early looks whole");
     answer(q->id, r.code, run_of);
     table_.close(*q);
   }
-  void tell(Req const& q, ClaimEnd e) {
+  void tell(Req const& q, ClaimDisposition e) {
     post(Msg{[this, key = q.key, h = q.holder, e, id = q.id](Spoil) {
-               if (e == ClaimEnd::not_run && holder_[key] == h) holder_[key] = 0;
-               if (e == ClaimEnd::returned) first_[key] = id;
-               if (e == ClaimEnd::lost) told_lost_.insert(h);
+               if (e == ClaimDisposition::not_run && holder_[key] == h) holder_[key] = 0;
+               if (e == ClaimDisposition::returned) first_[key] = id;
+               if (e == ClaimDisposition::lost) told_lost_.insert(h);
              },
              nullptr, false, true, true});
   }
@@ -354,7 +355,7 @@
              nullptr, false, true, true});
   }
   void serve(Conn& c, std::string const& id, std::string const& key, Spoil sp) {
-    Reply r{200, {{"Content-Length", "4"}, {"X-Attempt-Id", id}, {"X-Server-Seal", "s"}}, 4};
+    UpstreamResponse r{200, {{"Content-Length", "4"}, {"X-Attempt-Id", id}, {"X-Server-Seal", "s"}}, 4};
     bool const refuses = sp == Spoil::refused || sp == Spoil::misdirected;
     if (refuses) {
       r.code = sp == Spoil::refused ? 503 : 421;
@@ -366,7 +367,7 @@
       if (!key.empty()) ++key_runs_[key];
     }
     post(Msg{[this, &c, r, id, refuses](Spoil s) {
-               Reply x = r;
+               UpstreamResponse x = r;
                switch (s) {
                  case Spoil::cut_short: x.body = 3; break;
                  case Spoil::other_id: x.heads[1].second = "zz"; break;
@@ -377,10 +378,10 @@
                    if (!refuses) x.code = 503;
                    break;
                  case Spoil::bare_refusal:
-                   x = Reply{503, {{"Content-Length", "0"}, {"X-Not-Run", "1"}}, 0};
+                   x = UpstreamResponse{503, {{"Content-Length", "0"}, {"X-Not-Run", "1"}}, 0};
                    break;  // anybody's
                  case Spoil::other_refusal:
-                   x = Reply{421, {{"Content-Length", "0"}, {"X-Attempt-Id", "zz"}, {"X-Not-Run", "1"}}, 0};
+                   x = UpstreamResponse{421, {{"Content-Length", "0"}, {"X-Attempt-Id", "zz"}, {"X-Not-Run", "1"}}, 0};
                    break;
                  case Spoil::failed: x.code = 500; break;
                  default: break;
@@ -418,7 +419,7 @@
   Case c_;
   std::mt19937 rnd_;
   double chance_ = 0;
-  Secs now_ = 0;
+  Seconds now_ = 0;
   Table table_;
   std::deque<Msg> bag_;
   std::vector<Msg> after_;
@@ -441,7 +442,7 @@
 }
 
 // Every message of every sort, spoiled in every way; the first break, or nothing.
-template <class P = Rules, class S = Shell>
+template <class P = RequestRules, class S = Shell>
 std::string mutate(std::size_t* played = nullptr) {
   std::size_t n = 0;
   for (Sort const s : {Sort::idempotent, Sort::effectful, Sort::keyed})
@@ -457,31 +458,31 @@
 }
 
 // The planted faults.
-struct TrustsBroken : Rules {
-  static bool proves_not_run(End e) { return surely_not_run(e) || e == End::broken; }
+struct TrustsBroken : RequestRules {
+  static bool proves_not_run(AttemptResult e) { return surely_not_run(e) || e == AttemptResult::broken; }
 };
-struct TrustsSilence : Rules {
-  static bool proves_not_run(End e) { return surely_not_run(e) || e == End::silent; }
+struct TrustsSilence : RequestRules {
+  static bool proves_not_run(AttemptResult e) { return surely_not_run(e) || e == AttemptResult::silent; }
 };
-struct RefusesAlways : Rules {
-  static bool may_refuse(Course const&) { return true; }
+struct RefusesAlways : RequestRules {
+  static bool may_refuse(RetryState const&) { return true; }
 };
-struct GivesBackAlways : Rules {
-  static bool may_give_back(Course const&) { return true; }
+struct GivesBackAlways : RequestRules {
+  static bool may_give_back(RetryState const&) { return true; }
 };
-struct GoesOnAlways : Rules {
-  static bool may_go_on(Course const& c, Secs) { return c.tries() < 3; }
+struct GoesOnAlways : RequestRules {
+  static bool may_go_on(RetryState const& c, Seconds) { return c.attempts() < 3; }
 };
-struct ReadsNoId : Rules {
-  static Judged examine(Reply const& r, std::string_view) {
+struct ReadsNoId : RequestRules {
+  static ResponseCheck examine(UpstreamResponse const& r, std::string_view) {
     std::string const* id = find_head(r.heads, "X-Attempt-Id");
     return dockbend::examine(r, id != nullptr ? *id : "");
   }
 };
-struct RefusalNeedsNoId : Rules {
-  static Judged examine(Reply const& r, std::string_view id) {
+struct RefusalNeedsNoId : RequestRules {
+  static ResponseCheck examine(UpstreamResponse const& r, std::string_view id) {
     if (find_head(r.heads, "X-Not-Run") != nullptr && find_head(r.heads, "X-Attempt-Id") == nullptr)
-      return {End::not_run, std::nullopt};
+      return {AttemptResult::not_run, std::nullopt};
     return dockbend::examine(r, id);
   }
 };
@@ -513,36 +514,36 @@
   cr_assert_not(mutate<GoesOnAlways>().empty());
   cr_assert_not(mutate<ReadsNoId>().empty());
   cr_assert_not(mutate<RefusalNeedsNoId>().empty());
-  cr_assert_not((mutate<Rules, NeverCuts>().empty()));
+  cr_assert_not((mutate<RequestRules, NeverCuts>().empty()));
 }
 
 namespace {
 // A repeatable request with an attempt at work since 0, late from 1 on.
-Request at_work(u32 max_tries) {
-  Request r("a", false, Course(true, max_tries, 10));
+RequestMachine at_work(u32 max_attempts) {
+  RequestMachine r("a", false, RetryState(true, max_attempts, 10));
   r.admitted();
   r.began(0, 1, 0.25);
   return r;
 }
 // Nothing has changed: the attempt is waited for, and its answer goes to the client.
-void still_at_work(Request& r) {
-  cr_assert(r.phase() == Request::Phase::attempt);
+void still_at_work(RequestMachine& r) {
+  cr_assert(r.phase() == RequestMachine::Phase::attempt);
   cr_assert_eq(r.course().arrivals(), 0u);
   cr_assert_not(r.course().maybe_run());
-  cr_assert(r.ended(End::whole, 5, 0.1, [] { return false; }).what == Step::Do::pass);
+  cr_assert(r.ended(AttemptResult::whole, 5, 0.1, [] { return false; }).what == RequestAction::Do::pass);
 }
 }  // namespace
 
 Test(request, an_empty_budget_breaks_off_no_attempt) {
-  Request r = at_work(3);
-  cr_assert(r.course().due(2, true, true, false) == Course::Due::late);
+  RequestMachine r = at_work(3);
+  cr_assert(r.course().due(2, true, true, false) == RetryState::Due::late);
   cr_assert_not(r.replace_attempt(
       2, false, [] { return true; }, [] { return false; }));
   still_at_work(r);
 }
 
 Test(request, no_other_server_breaks_off_no_attempt_and_takes_no_token) {
-  Request r = at_work(3);
+  RequestMachine r = at_work(3);
   int tokens = 0;
   cr_assert_not(r.replace_attempt(
       2, false, [] { return false; }, [&] { return ++tokens > 0; }));
@@ -553,14 +554,14 @@
 Test(request, tries_used_up_break_off_no_attempt_and_take_no_token) {
   int asked = 0;
   auto const yes = [&] { return ++asked > 0; };
-  Request one = at_work(1);
+  RequestMachine one = at_work(1);
   cr_assert_not(one.replace_attempt(2, false, yes, yes));
   still_at_work(one);
-  Request r("a", false, Course(true, 2, 10));  // of four tries three reach no server
+  RequestMachine r("a", false, RetryState(true, 2, 10));  // of four tries three reach no server
   r.admitted();
   for (int i = 0; i < 3; ++i) {
     r.began(0, 1, 0.25);
-    cr_assert(r.ended(End::unsent, 0.25, 0.1, [] { return false; }).what == Step::Do::choose);
+    cr_assert(r.ended(AttemptResult::unsent, 0.25, 0.1, [] { return false; }).what == RequestAction::Do::choose);
   }
   r.began(0, 1, 0.25);
   cr_assert_not(r.replace_attempt(2, false, yes, yes));
@@ -569,7 +570,7 @@
 }
 
 Test(request, a_sigterm_breaks_off_no_attempt) {
-  Request r = at_work(3);
+  RequestMachine r = at_work(3);
   int asked = 0;
   auto const yes = [&] { return ++asked > 0; };
   cr_assert_not(r.replace_attempt(2, true, yes, yes));
@@ -578,7 +579,7 @@
 }
 
 Test(request, a_certain_retry_takes_the_place_of_a_late_attempt) {
-  Request r = at_work(3);
+  RequestMachine r = at_work(3);
   std::string order;
   cr_assert(r.replace_attempt(
       2, false,
@@ -591,29 +592,29 @@
         return true;
       }));
   cr_assert_str_eq(order.c_str(), "st", "the token is taken for a server that is chosen");
-  cr_assert(r.phase() == Request::Phase::choice);
+  cr_assert(r.phase() == RequestMachine::Phase::choice);
   cr_assert_eq(r.course().arrivals(), 1u);
   cr_assert(r.course().maybe_run());
   // The retry reaches no server, twice: the token taken for it pays for the next.
   for (int i = 0; i < 2; ++i) {
     r.began(2, 1, 0.25);
-    cr_assert(r.ended(End::unsent, 2.3, 0.1, [] { return false; }).what == Step::Do::choose);
+    cr_assert(r.ended(AttemptResult::unsent, 2.3, 0.1, [] { return false; }).what == RequestAction::Do::choose);
   }
 }
 
 // A budget token pays for an arrival: one that reached no server is kept, one that did is not.
 Test(request, a_retry_that_reached_no_server_keeps_its_token) {
-  Request r = at_work(4);
+  RequestMachine r = at_work(4);
   int tokens = 0;
   auto const spend = [&] { return ++tokens > 0; };
-  cr_assert(r.ended(End::broken, 0.5, 0.1, spend).what == Step::Do::choose);
+  cr_assert(r.ended(AttemptResult::broken, 0.5, 0.1, spend).what == RequestAction::Do::choose);
   cr_assert_eq(tokens, 1);
   r.began(0.5, 1, 0.25);
-  cr_assert(r.ended(End::unsent, 0.75, 0.1, [] { return false; }).what == Step::Do::choose,
+  cr_assert(r.ended(AttemptResult::unsent, 0.75, 0.1, [] { return false; }).what == RequestAction::Do::choose,
             "no second token is asked for");
   r.began(0.75, 1, 0.25);
-  cr_assert(r.ended(End::broken, 1, 0.1, spend).what == Step::Do::choose);
+  cr_assert(r.ended(AttemptResult::broken, 1, 0.1, spend).what == RequestAction::Do::choose);
   cr_assert_eq(tokens, 2, "that one arrived: the next is paid for anew");
   r.began(1, 1, 0.25);
-  cr_assert(r.ended(End::broken, 1.2, 0.1, [] { return false; }).what == Step::Do::say);
+  cr_assert(r.ended(AttemptResult::broken, 1.2, 0.1, [] { return false; }).what == RequestAction::Do::say);
 }
--- a/tests/robustness/malformed_input_ports.cpp
+++ b/tests/robustness/malformed_input_ports.cpp
@@ -23,7 +23,7 @@
   std::string body;
 };
 
-int dial(Addr const& a) {
+int dial(Address const& a) {
   int const fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in sa{};
   sa.sin_family = AF_INET;
@@ -35,7 +35,7 @@
 }
 
 // Sends all, says that no more comes, and reads what comes back to its end.
-Back round_trip(Addr const& a, std::string const& bytes, bool end = true) {
+Back round_trip(Address const& a, std::string const& bytes, bool end = true) {
   Back b;
   int const fd = dial(a);
   if (fd < 0) return b;
@@ -161,7 +161,7 @@
       "[--seed N] [--rounds 1..10000]\n"
       "Throws malformed requests and frames at these; prints counts as JSON. Exit codes: 0 no fault, 1 faults, 2 wrong "
       "usage\n";
-  std::map<int, Addr> at;
+  std::map<int, Address> at;
   std::uint64_t seed = 1, rounds = 40;
   try {
     for (int o = 0; (o = getopt_long(argc, argv, "", opts, nullptr)) != -1;) {
@@ -174,12 +174,12 @@
         at[o] = parse_addr(optarg, argv[optind - 2]);
     }
     if (at.size() != 5 || optind < argc || seed == 0 || rounds == 0 || rounds > 10000)
-      throw BadSetting("usage", "five addresses, and rounds from 1 to 10000, are wanted");
-  } catch (BadSetting const& e) {
+      throw SettingsError("usage", "five addresses, and rounds from 1 to 10000, are wanted");
+  } catch (SettingsError const& e) {
     std::fprintf(stderr, "input_ports: %s\n%s", e.what(), usage);
     return 2;
   }
-  Addr const control = at['c'], directory = at['d'], inner = at['i'], agent = at['a'], front = at['f'];
+  Address const control = at['c'], directory = at['d'], inner = at['i'], agent = at['a'], front = at['f'];
   Counts n;
   Spoiler sp(seed);
 
@@ -231,20 +231,20 @@
 
   // Frames: records of chance under every kind, spoiled or not, to both inner ports.
   for (std::uint64_t i = 0; i < rounds; ++i)
-    for (Addr const& a : {inner, agent}) {
-      Hello h;
+    for (Address const& a : {inner, agent}) {
+      HandshakeRequest h;
       h.role = 1 + static_cast<u32>(sp.below(2));
       h.ip = "127.0.0.1";
-      std::string s = sp.chance(80) ? framed(Kind::hello, 0, codec::pack(h)) : sp.text(30);
+      std::string s = sp.chance(80) ? framed(MessageType::handshake_request, 0, codec::pack(h)) : sp.text(30);
       hana::for_each(Records{}, [&](auto t) {
         typename decltype(t)::type x{};
         sp.fill(x);
         std::string const body = sp.chance(50) ? codec::pack(x) : sp.spoil(codec::pack(x));
         if (!sp.chance(10)) return;
-        s += framed(static_cast<Kind>(sp.chance(20) ? sp.below(256) : 2 + sp.below(72)),
+        s += framed(static_cast<MessageType>(sp.chance(20) ? sp.below(256) : 2 + sp.below(72)),
                     static_cast<u32>(sp.odd_number()), body);
       });
-      if (sp.chance(20)) s += framed(Kind::zipped, 0, std::string("\x07\x04\0\0\0x", 6));
+      if (sp.chance(20)) s += framed(MessageType::deflated, 0, std::string("\x07\x04\0\0\0x", 6));
       if (sp.chance(20)) s.resize(s.size() - std::min<std::size_t>(s.size(), 3));
       ++n.frames;
       if (round_trip(a, s).hung) n.faults.push_back("a frame's channel does not end");
--- a/tests/robustness/malformed_input_soak.cpp
+++ b/tests/robustness/malformed_input_soak.cpp
@@ -63,7 +63,7 @@
         if (all.faults.size() < 20)
           std::fprintf(stderr, "input_soak: %s, seed %llu: %s\n", p.name, static_cast<unsigned long long>(seed + i),
                        f.c_str());
-        all.fault(f);
+        all.error_response(f);
       }
     }
     bad = bad || !all.faults.empty();
--- a/tests/robustness/malformed_input_test.cpp
+++ b/tests/robustness/malformed_input_test.cpp
@@ -18,12 +18,12 @@
   std::string z(5, static_cast<char>(kind));
   for (int i = 0; i < 4; ++i)
     z[static_cast<std::size_t>(i) + 1] = static_cast<char>(length >> (24 - 8 * i));
-  return framed(Kind::zipped, 0, z + data);
+  return framed(MessageType::deflated, 0, z + data);
 }
 std::string why(std::string const& stream) {
   Bytes in;
   in.s = stream;
-  return frame::each(in, [](frame::Head const&, std::string const&) {}).value_or("");
+  return frame::each(in, [](frame::Header const&, std::string const&) {}).value_or("");
 }
 std::string fault_of(std::string const& body) {
   try {
@@ -67,16 +67,16 @@
   same(why(framed_parcel(7, 0xffffffff, std::string(70000, 'x'))), "parcel too large in a letter of kind 7");
   same(why(framed_parcel(7, 100, "xx")), "broken parcel in a letter of kind 7");
   same(why(framed_parcel(255, 100, "xx")), "parcel of a kind that is never deflated in a letter of kind 255");
-  same(why(framed(Kind::zipped, 0, "ab")), "short parcel in a letter of kind 255");
+  same(why(framed(MessageType::deflated, 0, "ab")), "short parcel in a letter of kind 255");
   cr_assert(why("GET / HTTP/1.1\r\n").find("a length of") == 0, "a browser at the wrong port");
 }
 
 // Whatever a handler throws at a letter ends its channel.
 Test(input, a_handler_that_throws_ends_the_stream) {
   Bytes in;
-  in.s = framed(Kind::news, 0, "a") + framed(Kind::news, 0, "b");
+  in.s = framed(MessageType::state_update, 0, "a") + framed(MessageType::state_update, 0, "b");
   int n = 0;
-  auto const bad = frame::each(in, [&](frame::Head const&, std::string const&) {
+  auto const bad = frame::each(in, [&](frame::Header const&, std::string const&) {
     ++n;
     throw json::Fault("x", "missing");
   });
@@ -86,33 +86,33 @@
 
 // A record that ends after any of its fields is one of an older program: the rest is zero.
 Test(input, records_of_an_older_layout_read_with_zeros) {
-  Hello h;
+  HandshakeRequest h;
   h.role = 1;
   h.ip = "10.0.0.1";
   h.accepted = Ballot(5);
   std::string const whole = codec::pack(h);
-  Hello const old =
-      codec::unpack<Hello>(std::string_view(whole).substr(0, whole.size() - 2));  // its last field, of two bytes
+  HandshakeRequest const old = codec::unpack<HandshakeRequest>(
+      std::string_view(whole).substr(0, whole.size() - 2));  // its last field, of two bytes
   cr_assert(old.role == 1 && old.ip == h.ip && old.accepted == Ballot());
-  Delta d;
-  d.bal = Ballot(9);
-  d.roster_set = true;
-  cr_assert_throw(read_delta(codec::pack(d)), codec::Malformed, "a roster of nobody");
-  State s;
-  s.bal = Ballot(9);
-  cr_assert_throw(read_state(codec::pack(s)), codec::Malformed);
-  cr_assert_throw(read_state(""), codec::Malformed);
-  cr_assert_throw(codec::unpack<Hello>(std::string("\x08\xff\xff\xff\xff\x1f", 6)), codec::Malformed,
+  StateDelta d;
+  d.ballot = Ballot(9);
+  d.membership_set = true;
+  cr_assert_throw(read_delta(codec::pack(d)), codec::MalformedMessage, "a roster of nobody");
+  ReplicatedState s;
+  s.ballot = Ballot(9);
+  cr_assert_throw(read_state(codec::pack(s)), codec::MalformedMessage);
+  cr_assert_throw(read_state(""), codec::MalformedMessage);
+  cr_assert_throw(codec::unpack<HandshakeRequest>(std::string("\x08\xff\xff\xff\xff\x1f", 6)), codec::MalformedMessage,
                   "a role that does not fit");
-  cr_assert_throw(codec::unpack<ClockSaid>(std::string("\x09\0\0\0\0\0\0\xf0\x7f", 9)), codec::Malformed,
+  cr_assert_throw(codec::unpack<ClockReading>(std::string("\x09\0\0\0\0\0\0\xf0\x7f", 9)), codec::MalformedMessage,
                   "an infinite time");
-  cr_assert_throw(codec::unpack<Hello>(std::string("\0\x01", 2)), codec::Malformed, "field 0");
+  cr_assert_throw(codec::unpack<HandshakeRequest>(std::string("\0\x01", 2)), codec::MalformedMessage, "field 0");
 }
 
 Test(input, a_platform_that_says_wait_for_ever_is_asked_again) {
   for (double const wait : {HUGE_VAL, std::nan(""), 1e300}) {
-    Reporter r{ReportPlan{}};
-    State s;
+    UsageReporter r{UsageReportOptions{}};
+    ReplicatedState s;
     s.fixed.emplace_back();
     s.fixed.back().window = 1;
     r.sent(0);
@@ -182,7 +182,7 @@
     try {
       parse_settings(with(good_settings, from, to));
       cr_assert(false, "%s was taken", to);
-    } catch (BadSetting const& e) {
+    } catch (SettingsError const& e) {
       cr_assert_str_eq(e.field.c_str(), field);
     }
   }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -7,8 +7,8 @@
 using namespace dockbend;
 
 namespace {
-RolloutPlan plan() {
-  RolloutPlan p;
+RolloutOptions plan() {
+  RolloutOptions p;
   p.stages = {0.34, 1.0};
   p.enough = 0.67;
   p.stageS = 1;
@@ -45,7 +45,7 @@
   cr_assert(r.step(0.2, s).commit);
   cr_assert_not(r.step(0.3, s).commit, "asked for once");
   r.committed(true);
-  cr_assert(r.phase() == RollPhase::done);
+  cr_assert(r.phase() == RolloutPhase::done);
   cr_assert_not(r.step(9, s).drop, "nothing is withdrawn after the commit");
 }
 
@@ -56,11 +56,11 @@
   r.heard("e0", true);
   r.step(0.1, s);
   r.step(1.5, s);
-  cr_assert(r.phase() == RollPhase::paused);
+  cr_assert(r.phase() == RolloutPhase::paused);
   cr_assert_not(r.step(2, s).send.empty(), "those that did not answer are asked again");
   r.heard("e1", true);
   cr_assert_eq(r.step(3, s).send.size(), 1u, "the next stage begins when they answer");
-  cr_assert(r.phase() == RollPhase::holding);
+  cr_assert(r.phase() == RolloutPhase::holding);
   r.heard("e2", true);
   cr_assert(r.step(3.1, s).commit);
 }
@@ -73,7 +73,7 @@
   r.step(1.5, s);
   auto const st = r.step(5.1, s);
   cr_assert(st.drop);
-  cr_assert(r.phase() == RollPhase::fell_back);
+  cr_assert(r.phase() == RolloutPhase::fell_back);
   r.heard("e1", true);
   r.heard("e2", true);
   cr_assert_not(r.step(5.2, s).commit, "a late answer does not wake it");
@@ -178,7 +178,7 @@
     try {
       parse_settings(ok + bad + "\n");
       cr_assert(false, "%s passed", bad);
-    } catch (BadSetting const& e) {
+    } catch (SettingsError const& e) {
       cr_assert(std::string(bad).find(e.field) == 0, "%s named %s", bad, e.field.c_str());
     }
   }
@@ -187,7 +187,7 @@
 // The leader dies in the middle: what was held expires everywhere, and a second
 // leader's rollout of the same change begins anew.
 Test(rollout, a_dead_leader_leaves_nothing_held) {
-  Holder h;
+  StagedChanges h;
   h.hold(1, 5);
   h.expire(4);
   cr_assert(h.holds(1));
--- a/tests/server_registry/server_registry_test.cpp
+++ b/tests/server_registry/server_registry_test.cpp
@@ -10,8 +10,8 @@
 using namespace dockbend;
 
 namespace {
-Row row(std::string id, u64 seq, Standing s = Standing::ready) {
-  Row r{};
+ServerRecord row(std::string id, u64 seq, ServerState s = ServerState::ready) {
+  ServerRecord r{};
   r.id = std::move(id);
   r.service = "p";
   r.address = "10.0.0.9:80";
@@ -25,23 +25,23 @@
 }  // namespace
 
 Test(roll, a_late_beat_changes_nothing) {
-  Roll r;
+  ServerRegistry r;
   r.beat(row("a", 5), "me", 0);
-  cr_assert(r.beat(row("a", 6, Standing::draining), "me", 1));
+  cr_assert(r.beat(row("a", 6, ServerState::draining), "me", 1));
   cr_assert_not(r.beat(row("a", 5), "me", 2));
-  cr_assert(r.get("a", 2)->state == Standing::draining);
-  Row left = row("a", left_seq, Standing::gone);
+  cr_assert(r.get("a", 2)->state == ServerState::draining);
+  ServerRecord left = row("a", kDepartedSequence, ServerState::gone);
   cr_assert(r.join(left, 3));
   cr_assert_not(r.beat(row("a", 7), "me", 4), "what left stays gone");
 }
 
 Test(roll, silence_ends_a_row_and_a_beat_revives_it) {
-  Roll r;
+  ServerRegistry r;
   r.beat(row("a", 1), "me", 0);
   cr_assert(r.expire("me", 4.5, 4).empty());
   cr_assert_eq(r.expire("me", 4.5, 5).size(), 1u);
   cr_assert(r.beat(row("a", 2), "me", 6));
-  cr_assert(r.get("a", 6)->state == Standing::ready);
+  cr_assert(r.get("a", 6)->state == ServerState::ready);
   r.forgive(20);
   cr_assert(r.expire("me", 4.5, 21).empty(), "after a stall of our own nobody is late");
 }
@@ -50,29 +50,29 @@
 Test(roll, any_order_ends_in_one_table) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 rnd(seed);
-    std::vector<Row> news;
+    std::vector<ServerRecord> news;
     for (int i = 0; i < 40; ++i) {
-      Standing const s = static_cast<Standing>(1 + rnd() % 3);
-      Row r = row("s" + std::to_string(rnd() % 6), static_cast<u64>(i), s);
+      ServerState const s = static_cast<ServerState>(1 + rnd() % 3);
+      ServerRecord r = row("s" + std::to_string(rnd() % 6), static_cast<u64>(i), s);
       r.owner = "o" + std::to_string(rnd() % 2);
       news.push_back(r);
     }
-    Roll a, b;
-    for (Row const& r : news)
+    ServerRegistry a, b;
+    for (ServerRecord const& r : news)
       a.join(r, 0);
     std::shuffle(news.begin(), news.end(), rnd);
-    for (Row const& r : news)
+    for (ServerRecord const& r : news)
       if (rnd() % 4 != 0) b.join(r, 0);
-    for (Row const& r : a.all(0))
+    for (ServerRecord const& r : a.all(0))
       b.join(r, 0);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
 
 Test(catalog, rows_drop_after_missed_keepalives_and_lists_stay_short) {
-  Catalog<NearSelector> c(3.0);
+  Directory<NearestSelector> c(3.0);
   for (int i = 0; i < 6; ++i) {
-    Site s{};
+    ProxyEntry s{};
     s.front = "10.0.0." + std::to_string(i) + ":80";
     s.zone = i < 4 ? "n1" : "s1";
     s.region = i < 4 ? "north" : "south";
@@ -83,9 +83,9 @@
   cr_assert_eq(c.resolve({"n1", "north"}).size(), 2u);
   c.expire(3.5);
   cr_assert_eq(c.rows().size(), 5u);
-  for (Site const* s : c.resolve({"n1", "north"}))
+  for (ProxyEntry const* s : c.resolve({"n1", "north"}))
     cr_assert_str_eq(s->zone.c_str(), "n1");
-  Site o;
+  ProxyEntry o;
   o.front = "10.0.1.0:80";
   o.zone = "n2";
   o.region = "north";
@@ -94,7 +94,7 @@
   c.keep(o);
   auto const l = c.resolve({"n1", "north"});
   cr_assert_eq(l.size(), 3u);
-  cr_assert_eq(std::count_if(l.begin(), l.end(), [](Site const* s) { return s->zone == "n2"; }), 1,
+  cr_assert_eq(std::count_if(l.begin(), l.end(), [](ProxyEntry const* s) { return s->zone == "n2"; }), 1,
                "not all in one zone");
   c.expire(9);
   cr_assert(c.resolve({"n1", "north"}).empty());
@@ -106,37 +106,37 @@
 Test(roll, an_old_whole_and_what_changed_since_are_the_whole) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::mt19937 rnd(seed);
-    Roll a, b;
-    std::vector<Row> whole;
-    Secs const at = 5;
+    ServerRegistry a, b;
+    std::vector<ServerRecord> whole;
+    Seconds const at = 5;
     for (int t = 0; t <= 10; ++t) {
       if (t == 5) whole = a.all(t);
       for (int k = 0; k < 4; ++k) {
-        Row r;
+        ServerRecord r;
         r.id = "s" + std::to_string(rnd() % 12);
         r.service = "p";
         r.address = "10.0.0.1:" + std::to_string(1 + rnd() % 3);
-        r.state = static_cast<Standing>(1 + rnd() % 3);
+        r.state = static_cast<ServerState>(1 + rnd() % 3);
         r.seq = static_cast<u64>(t) * 10 + k;
         a.join(r, t);
       }
     }
-    for (Row const& r : whole)
+    for (ServerRecord const& r : whole)
       b.join(r, 10);
-    for (Row const& r : a.changed_since(at, 10))
+    for (ServerRecord const& r : a.changed_since(at, 10))
       b.join(r, 10);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
 
 Test(roll, a_passing_difference_is_no_mismatch) {
-  Mismatch m;
+  DigestMismatchDetector m;
   for (u64 i = 0; i < 7; ++i)
     cr_assert_not(m.hear(i, i + 1), "both move");
   cr_assert_not(m.hear(9, 9));
   cr_assert_not(m.hear(9, 8));
   cr_assert(m.hear(9, 8), "both stand still and differ");
-  Mismatch n;
+  DigestMismatchDetector n;
   bool told = false;
   for (u64 i = 0; i < 9; ++i)
     told = n.hear(i, i + 1) || told;
@@ -145,10 +145,10 @@
 
 // All power was lost and the table begins empty: nobody is sent to the first few rows.
 Test(catalog, a_table_that_fills_names_nobody_yet) {
-  Catalog<NearSelector> c(1.9, 1.2);
+  Directory<NearestSelector> c(1.9, 1.2);
   cr_assert_not(c.settled(100));
   for (int i = 0; i < 30; ++i) {
-    Site s;
+    ProxyEntry s;
     s.front = "10.0.0." + std::to_string(i) + ":80";
     s.zone = s.region = "z";
     s.ready = true;
@@ -157,11 +157,11 @@
     if (i < 29) cr_assert_not(c.settled(s.heard));
   }
   cr_assert(c.settled(101.2));
-  Consumer who;
+  ClientContext who;
   who.zone = who.region = "z";
   std::set<std::string> named;
   for (int i = 0; i < 200; ++i)
-    for (Site const* s : c.resolve(who))
+    for (ProxyEntry const* s : c.resolve(who))
       named.insert(s->front);
   cr_assert_gt(named.size(), 25u);
 }
--- a/tests/storage/disk_store_test.cpp
+++ b/tests/storage/disk_store_test.cpp
@@ -23,7 +23,7 @@
 using Rnd = std::mt19937;
 
 // One change of any kind that rounds make.
-void change(State& s, Rnd& r) {
+void change(ReplicatedState& s, Rnd& r) {
   auto n = [&](unsigned k) { return r() % k; };
   switch (n(9)) {
     case 0:
@@ -32,19 +32,20 @@
       break;
     case 2: {
       std::string const z = "z" + std::to_string(n(3));
-      auto const it = std::find_if(s.evacs.begin(), s.evacs.end(), [&](Evac const& e) { return e.zone == z; });
-      if (it == s.evacs.end())
-        s.evacs.push_back(Evac{z, 1, true});
+      auto const it =
+          std::find_if(s.evacuations.begin(), s.evacuations.end(), [&](Evacuation const& e) { return e.zone == z; });
+      if (it == s.evacuations.end())
+        s.evacuations.push_back(Evacuation{z, 1, true});
       else
-        *it = Evac{z, it->counter + 1, !it->on};
+        *it = Evacuation{z, it->counter + 1, !it->on};
       break;
     }
-    case 3: join_member("10.0.0." + std::to_string(1 + n(5)), Life(1 + n(3)))(s); break;
+    case 3: join_member("10.0.0." + std::to_string(1 + n(5)), Incarnation(1 + n(3)))(s); break;
     case 4: {
       std::string const d = n(2) == 0 ? "usage" : "drain";
-      auto const it = std::find_if(s.duties.begin(), s.duties.end(), [&](Term const& t) { return t.duty == d; });
+      auto const it = std::find_if(s.duties.begin(), s.duties.end(), [&](Lease const& t) { return t.duty == d; });
       if (it == s.duties.end())
-        s.duties.push_back(Term{d, "x", "10.0.0.1", 1, 1, ""});
+        s.duties.push_back(Lease{d, "x", "10.0.0.1", 1, 1, ""});
       else if (n(4) == 0)
         ++it->fence;
       else
@@ -53,54 +54,54 @@
     }
     case 5:
       s.to_fix = std::max<u64>(s.to_fix, 1) + 1;
-      s.fixed.push_back(FixedWindow{s.to_fix, "{}"});
+      s.fixed.push_back(FrozenUsageReport{s.to_fix, "{}"});
       if (s.fixed.size() > 2) s.fixed.erase(s.fixed.begin());
       break;
     case 6: {
-      Pass p;
+      DrainRun p;
       p.id = 100 - s.passes.size() + 1000 * n(9);  // not in their order
       if (s.pass(p.id) != nullptr) break;
-      p.state = PassState::running;
-      p.had.push_back(Had{"shop", 3});
+      p.state = DrainRunState::running;
+      p.had.push_back(InitialServerCount{"shop", 3});
       s.passes.push_back(p);
       for (unsigned i = 0; i < 4; ++i)
-        s.units.push_back(Unit{p.id, "u" + std::to_string(9 - i), "", i, Stage::waiting, 0});
+        s.units.push_back(DrainUnit{p.id, "u" + std::to_string(9 - i), "", i, DrainStage::waiting, 0});
       break;
     }
     case 7:
-      if (!s.units.empty()) s.units[n(static_cast<unsigned>(s.units.size()))].stage = static_cast<Stage>(n(6));
+      if (!s.units.empty()) s.units[n(static_cast<unsigned>(s.units.size()))].stage = static_cast<DrainStage>(n(6));
       break;
     default:
       if (!s.passes.empty()) {
         u64 const id = s.passes[n(static_cast<unsigned>(s.passes.size()))].id;
-        std::erase_if(s.units, [&](Unit const& u) { return u.pass == id; });
-        std::erase_if(s.passes, [&](Pass const& p) { return p.id == id; });
+        std::erase_if(s.units, [&](DrainUnit const& u) { return u.pass == id; });
+        std::erase_if(s.passes, [&](DrainRun const& p) { return p.id == id; });
       }
   }
 }
-State founding() {
-  State s;
+ReplicatedState founding() {
+  ReplicatedState s;
   for (int i = 0; i < 3; ++i)
-    s.roster.push_back(member(Net::name(i), Life(1)));
+    s.membership.push_back(member(Net::name(i), Incarnation(1)));
   return s;
 }
-Acc next_accept(Acceptor const& a, Rnd& r) {
-  State to = *a.state();
+AcceptRequest next_accept(Acceptor const& a, Rnd& r) {
+  ReplicatedState to = *a.state();
   for (unsigned k = r() % 3; k > 0; --k)
     change(to, r);  // none: a renewal of nothing
-  to.bal = Ballot(a.promised().v + 1 + r() % 3);
-  Acc q;
-  q.bal = to.bal;
-  q.life = a.life();
+  to.ballot = Ballot(a.promised().v + 1 + r() % 3);
+  AcceptRequest q;
+  q.ballot = to.ballot;
+  q.incarnation = a.incarnation();
   if (r() % 12 == 0)
     q.state = codec::pack(to);
   else
     q.delta = codec::pack(delta_of(*a.state(), to));
   return q;
 }
-std::map<std::string, std::string> table(std::vector<ValueRow> const& rows) {
+std::map<std::string, std::string> table(std::vector<StateRow> const& rows) {
   std::map<std::string, std::string> t;
-  for (ValueRow const& r : rows)
+  for (StateRow const& r : rows)
     t[r.key] = r.body;
   return t;
 }
@@ -113,14 +114,14 @@
   };
   std::deque<Waiting> in;
   std::map<std::string, std::string> rows;
-  std::optional<Head> head;
+  std::optional<VoteHeader> head;
   void write_vote(VoteWrite w, std::function<void(bool)> done) { in.push_back({std::move(w), std::move(done)}); }
   void step(bool fails) {
     Waiting x = std::move(in.front());
     in.pop_front();
     bool const ok = !fails && x.w.base == (head ? head->seq : 0);
     if (ok) {
-      for (ValueRow const& r : x.w.rows) {
+      for (StateRow const& r : x.w.rows) {
         if (r.gone)
           rows.erase(r.key);
         else
@@ -130,10 +131,10 @@
     }
     x.done(ok);
   }
-  State read() const {
-    std::vector<ValueRow> v;
+  ReplicatedState read() const {
+    std::vector<StateRow> v;
     for (auto const& [k, b] : rows)
-      v.push_back(ValueRow{k, b, false});
+      v.push_back(StateRow{k, b, false});
     return value_of(*head, v);
   }
 };
@@ -148,14 +149,14 @@
 };
 // A store with a vote after each change, done at once.
 struct Member1 {
-  std::unique_ptr<Store> store;
-  Acceptor acc{Life(1), Ballot(), founding()};
+  std::unique_ptr<DiskStore> store;
+  Acceptor acc{Incarnation(1), Ballot(), founding()};
   bool said = false;
   struct Sync {
-    Store& s;
-    std::vector<Store::Op> ops;
+    DiskStore& s;
+    std::vector<DiskStore::Op> ops;
     void write_vote(VoteWrite w, std::function<void(bool)> done) {
-      Store::Write x;
+      DiskStore::Write x;
       x.vote = std::move(w);
       x.ops = std::move(ops);
       ops.clear();
@@ -164,19 +165,20 @@
     }
   } sync;
   VoteWriter<Sync> writer;
-  explicit Member1(std::string const& dir) : store(std::make_unique<Store>(dir)), sync{*store, {}}, writer(sync, 0) {
+  explicit Member1(std::string const& dir)
+      : store(std::make_unique<DiskStore>(dir)), sync{*store, {}}, writer(sync, 0) {
     cr_assert(store->load().fresh);
     write(rows_of(*acc.state()));
   }
-  void write(std::vector<ValueRow> rows) {
+  void write(std::vector<StateRow> rows) {
     writer.write(acc.head(), std::move(rows), [this](bool ok) { said = ok; });
   }
   bool accept(Rnd& r) {
-    AccR a;
-    Acceptor::Step s = acc.accept(next_accept(acc, r), a);
+    AcceptResponse a;
+    Acceptor::PendingWrite s = acc.accept(next_accept(acc, r), a);
     cr_assert(s.write);
-    Store::Op k;
-    k.what = Store::Op::What::put_key;
+    DiskStore::Op k;
+    k.what = DiskStore::Op::What::put_key;
     k.k = "key-" + std::to_string(r() % 200);
     k.holder = r();
     sync.ops.push_back(k);
@@ -191,22 +193,22 @@
 Test(disk, changes_of_rows_add_up_to_the_value) {
   Rnd r(5);
   for (int day = 0; day < 20; ++day) {
-    Acceptor a(Life(1), Ballot(), founding());
+    Acceptor a(Incarnation(1), Ballot(), founding());
     auto rows = table(rows_of(*a.state()));
     for (int i = 0; i < 60; ++i) {
-      AccR q;
-      Acceptor::Step const s = a.accept(next_accept(a, r), q);
+      AcceptResponse q;
+      Acceptor::PendingWrite const s = a.accept(next_accept(a, r), q);
       cr_assert(q.ok);
-      for (ValueRow const& x : s.rows) {
+      for (StateRow const& x : s.rows) {
         if (x.gone)
           rows.erase(x.key);
         else
           rows[x.key] = x.body;
       }
       cr_assert(rows == table(rows_of(*a.state())));
-      std::vector<ValueRow> v;
+      std::vector<StateRow> v;
       for (auto const& [k, b] : rows)
-        v.push_back(ValueRow{k, b, false});
+        v.push_back(StateRow{k, b, false});
       cr_assert(codec::pack(value_of(a.head(), v)) == codec::pack(*a.state()));
     }
   }
@@ -214,17 +216,17 @@
 
 Test(disk, a_row_that_is_missing_changed_or_too_many_is_no_value) {
   Rnd r(6);
-  Acceptor a(Life(1), Ballot(), founding());
+  Acceptor a(Incarnation(1), Ballot(), founding());
   for (int i = 0; i < 80; ++i) {
-    AccR q;
+    AcceptResponse q;
     a.accept(next_accept(a, r), q);
   }
   auto const rows = rows_of(*a.state());
-  auto whole = [&](std::vector<ValueRow> const& v) {
+  auto whole = [&](std::vector<StateRow> const& v) {
     try {
       value_of(a.head(), v);
       return true;
-    } catch (codec::Malformed const&) {
+    } catch (codec::MalformedMessage const&) {
       return false;
     }
   };
@@ -256,29 +258,29 @@
 
 // Renewing a duty writes its counter and the head, whatever the size of the value.
 Test(disk, a_change_writes_its_own_size) {
-  State s = founding();
+  ReplicatedState s = founding();
   for (int i = 0; i < 2000; ++i)
-    s.items.push_back(Item{"r/h/" + std::to_string(10000 + i), Gen(1), false, std::string(200, 'x')});
-  s.duties.push_back(Term{"usage", "x", "10.0.0.1", 1, 1, ""});
-  Acceptor a(Life(1), Ballot(), s);
+    s.items.push_back(ConfigItem{"r/h/" + std::to_string(10000 + i), Generation(1), false, std::string(200, 'x')});
+  s.duties.push_back(Lease{"usage", "x", "10.0.0.1", 1, 1, ""});
+  Acceptor a(Incarnation(1), Ballot(), s);
   auto bytes = [&](auto f) {
-    State to = *a.state();
+    ReplicatedState to = *a.state();
     f(to);
-    to.bal = Ballot(a.promised().v + 1);
-    Acc q;
-    q.bal = to.bal;
-    q.life = a.life();
+    to.ballot = Ballot(a.promised().v + 1);
+    AcceptRequest q;
+    q.ballot = to.ballot;
+    q.incarnation = a.incarnation();
     q.delta = codec::pack(delta_of(*a.state(), to));
-    AccR r;
+    AcceptResponse r;
     std::size_t n = 0;
-    for (ValueRow const& x : a.accept(q, r).rows)
+    for (StateRow const& x : a.accept(q, r).rows)
       n += x.key.size() + x.body.size();
     cr_assert(r.ok);
     return n;
   };
-  cr_assert_lt(bytes([](State& x) { ++x.duties[0].counter; }), 20u);
-  cr_assert_lt(bytes([](State& x) { x.items[77].body[0] = 'y'; }), 250u);
-  cr_assert_eq(bytes([](State&) {}), 0u);
+  cr_assert_lt(bytes([](ReplicatedState& x) { ++x.duties[0].counter; }), 20u);
+  cr_assert_lt(bytes([](ReplicatedState& x) { x.items[77].body[0] = 'y'; }), 250u);
+  cr_assert_eq(bytes([](ReplicatedState&) {}), 0u);
 }
 
 // Writes fail or hang at any point, alone or in a row, and power goes at any point: what is
@@ -287,11 +289,11 @@
   for (unsigned seed = 1; seed <= 300; ++seed) {
     Rnd r(seed);
     FakeDisk disk;
-    auto acc = std::make_unique<Acceptor>(Life(1), Ballot(), founding());
+    auto acc = std::make_unique<Acceptor>(Incarnation(1), Ballot(), founding());
     auto w = std::make_unique<VoteWriter<FakeDisk>>(disk, 0);
     std::map<u64, std::pair<std::string, Ballot>> was;  // by seq
     u64 handed = 0, said = 0;
-    auto hand = [&](std::vector<ValueRow> rows) {
+    auto hand = [&](std::vector<StateRow> rows) {
       was[++handed] = {codec::pack(*acc->state()), acc->promised()};
       w->write(acc->head(), std::move(rows), [&, n = handed](bool ok) {
         if (ok) said = std::max(said, n);
@@ -304,16 +306,16 @@
     for (int i = 0; i < 150; ++i) {
       switch (r() % 6) {
         case 0: {
-          PrepR q;
-          Prep p;
-          p.bal = Ballot(acc->promised().v + 1);
-          p.life = acc->life();
+          PrepareResponse q;
+          PrepareRequest p;
+          p.ballot = Ballot(acc->promised().v + 1);
+          p.incarnation = acc->incarnation();
           hand(acc->prepare(p, q).rows);
           break;
         }
         case 1:
         case 2: {
-          AccR q;
+          AcceptResponse q;
           hand(acc->accept(next_accept(*acc, r), q).rows);
           break;
         }
@@ -325,12 +327,12 @@
       }
       if (r() % 25 != 0) continue;
       disk.in.clear();  // power goes
-      State const s = disk.read();
+      ReplicatedState const s = disk.read();
       u64 const seq = disk.head->seq;
       cr_assert(seq >= said, "seed %u: older than what was said", seed);
       cr_assert(codec::pack(s) == was.at(seq).first && disk.head->promised == was.at(seq).second,
                 "seed %u: not a value that was", seed);
-      acc = std::make_unique<Acceptor>(Life(1), disk.head->promised, s);
+      acc = std::make_unique<Acceptor>(Incarnation(1), disk.head->promised, s);
       w = std::make_unique<VoteWriter<FakeDisk>>(disk, seq);
       handed = said = seq;
     }
@@ -350,7 +352,7 @@
   Dir const d;
   Rnd r(9);
   std::string pack;
-  Head head;
+  VoteHeader head;
   {
     Member1 m(d.path);
     for (int i = 0; i < 700; ++i)
@@ -370,15 +372,16 @@
     for (auto const& [n, b] : files)
       std::ofstream(t.path + "/" + n, std::ios::binary) << (n == name ? bytes : b);
     try {
-      Store s(t.path);
-      OnDisk const o = s.load();
+      DiskStore s(t.path);
+      StoredState const o = s.load();
       cr_assert(o.head && o.value, "%s: read as empty", what.c_str());
-      cr_assert(codec::pack(*o.value) == pack && o.head->promised == head.promised && o.head->life == head.life,
-                "%s: not what was said", what.c_str());
+      cr_assert(
+          codec::pack(*o.value) == pack && o.head->promised == head.promised && o.head->incarnation == head.incarnation,
+          "%s: not what was said", what.c_str());
       ++read;
-    } catch (Unreadable const&) {
+    } catch (StorageCorruption const&) {
       ++refused;
-    } catch (BadSetting const&) {
+    } catch (SettingsError const&) {
       ++refused;  // the layout's number itself: read as a newer one
     }
   };
@@ -428,8 +431,8 @@
       }
     }
     ::setrlimit(RLIMIT_FSIZE, &old);
-    Store s(d.path);
-    OnDisk const o = s.load();
+    DiskStore s(d.path);
+    StoredState const o = s.load();
     cr_assert(o.value.has_value());
     if (k % 2 == 0) cr_assert(codec::pack(*o.value) == pack);
   }
@@ -447,23 +450,23 @@
   std::ofstream(d.path + "/register.db", std::ios::in | std::ios::out | std::ios::binary) << "torn";
   bool refused = false;
   try {
-    Store s(d.path);
+    DiskStore s(d.path);
     s.load();
-  } catch (Unreadable const&) {
+  } catch (StorageCorruption const&) {
     refused = true;
   }
   cr_assert(refused);
-  Store::set_aside(d.path);
+  DiskStore::set_aside(d.path);
   cr_assert_not(fs::exists(d.path + "/register.db-wal"));
   for (int i = 0; i < 2; ++i) {  // also after a loss of power before the new life was written
-    Store s(d.path);
-    OnDisk const o = s.load();
+    DiskStore s(d.path);
+    StoredState const o = s.load();
     cr_assert_not(o.head.has_value());
     cr_assert_not(o.fresh);
   }
   fs::remove(d.path + "/register.db");
   fs::remove(d.path + "/register.db.unreadable");
-  cr_assert_not(Store(d.path).load().fresh, "the mark says that there was a vote");
+  cr_assert_not(DiskStore(d.path).load().fresh, "the mark says that there was a vote");
 }
 
 // Rows that SQLite itself finds nothing wrong with.
@@ -485,8 +488,8 @@
     sqlite3_close(h);
     bool refused = false;
     try {
-      Store(d.path).load();
-    } catch (Unreadable const&) {
+      DiskStore(d.path).load();
+    } catch (StorageCorruption const&) {
       refused = true;
     }
     cr_assert(refused, "%s", sql);
@@ -501,16 +504,16 @@
   cr_assert(m.accept(r));
   VoteWrite v;
   v.head = m.acc.head();
-  v.rows = {ValueRow{"i/x", "y", false}};
+  v.rows = {StateRow{"i/x", "y", false}};
   v.base = 3;  // never written
   v.head.seq = 4;
-  Store::Write a, b;
+  DiskStore::Write a, b;
   a.vote = v;
-  b.ops.push_back(Store::put_meta("sites", "s"));
+  b.ops.push_back(DiskStore::put_meta("sites", "s"));
   m.store->commit({&a, &b});
   cr_assert_not(a.ok);
   cr_assert(b.ok);
-  OnDisk const o = m.store->load();
+  StoredState const o = m.store->load();
   cr_assert(codec::pack(*o.value) == codec::pack(*m.acc.state()));
   cr_assert_str_eq(o.sites.c_str(), "s");
 }
@@ -519,10 +522,10 @@
 Test(disk, the_layout_before_is_taken_over) {
   Dir const d;
   Rnd r(8);
-  State s = founding();
+  ReplicatedState s = founding();
   for (int i = 0; i < 50; ++i)
     change(s, r);
-  s.bal = Ballot(77);
+  s.ballot = Ballot(77);
   std::string const state = codec::pack(s);
   sqlite3* h = nullptr;
   sqlite3_open((d.path + "/register.db").c_str(), &h);
@@ -541,9 +544,9 @@
   sqlite3_finalize(q);
   sqlite3_close(h);
   for (int i = 0; i < 2; ++i) {
-    Store x(d.path);
-    OnDisk const o = x.load();
-    cr_assert(o.head && o.head->life == Life(5) && o.head->promised == Ballot(80));
+    DiskStore x(d.path);
+    StoredState const o = x.load();
+    cr_assert(o.head && o.head->incarnation == Incarnation(5) && o.head->promised == Ballot(80));
     cr_assert(codec::pack(*o.value) == state);
     cr_assert(o.keys_filled == 1 && o.keys.size() == 2 && o.keys[0].sealed && o.keys[0].holder == 9 &&
               !o.keys[1].sealed);
@@ -573,8 +576,8 @@
   auto const was = bytes();
   bool refused = false;
   try {
-    Store s(d.path);
-  } catch (BadSetting const& e) {
+    DiskStore s(d.path);
+  } catch (SettingsError const& e) {
     refused = std::string(e.what()).find("layout 3") != std::string::npos;
   }
   cr_assert(refused);
