--- a/tests/support/control_model.hpp
+++ b/tests/support/control_model.hpp
@@ -10,25 +10,25 @@
 namespace dockbend::test {
 
 struct Control {
-  struct Item {
+  struct ConfigItem {
     u64 gen = 0;
     std::string body;  // "": dropped
-    friend bool operator==(Item const&, Item const&) = default;
+    friend bool operator==(ConfigItem const&, ConfigItem const&) = default;
   };
   struct State {
-    std::map<std::string, Item> items;
+    std::map<std::string, ConfigItem> items;
     std::set<std::string> zones;
     std::map<u64, std::string> passes;
   };
-  struct Want {
+  struct QuotaDemand {
     std::string key;
-    Item item;
+    ConfigItem item;
     std::string service;  // that it names
   };
   enum class What { amend, evacuate, start, read };
   struct Op {
     What what = What::read;
-    std::vector<Want> wants;
+    std::vector<QuotaDemand> wants;
     std::string zone, body;
     bool on = false;
     u64 pass = 0;
@@ -38,13 +38,13 @@
   };
 
   static bool proper(State const& s, Op const& o) {
-    std::map<std::string, Item> put;
-    for (Want const& w : o.wants) {
+    std::map<std::string, ConfigItem> put;
+    for (QuotaDemand const& w : o.wants) {
       auto const it = s.items.find(w.key);
       if (it != s.items.end() && it->second.gen == w.item.gen && !(it->second == w.item)) return false;
       if (it == s.items.end() || it->second.gen < w.item.gen) put[w.key] = w.item;
     }
-    for (Want const& w : o.wants) {
+    for (QuotaDemand const& w : o.wants) {
       if (w.service.empty()) continue;
       auto const it = s.items.find("s/" + w.service);
       auto const own = put.find("s/" + w.service);
@@ -58,8 +58,8 @@
       case What::amend:
         if (!proper(s, o)) return known && !o.ok;
         if (known && !o.ok) return false;
-        for (Want const& w : o.wants)
-          if (Item& i = s.items[w.key]; i.gen < w.item.gen) i = w.item;
+        for (QuotaDemand const& w : o.wants)
+          if (ConfigItem& i = s.items[w.key]; i.gen < w.item.gen) i = w.item;
         return true;
       case What::evacuate:
         if (known && !o.ok) return false;
@@ -93,7 +93,7 @@
   static std::string asks(Op const& o) {
     std::string t = std::to_string(static_cast<int>(o.what)) + (o.on ? "+" : "-") + o.zone + "#" +
                     std::to_string(o.pass) + "=" + o.body;
-    for (Want const& w : o.wants)
+    for (QuotaDemand const& w : o.wants)
       t += " " + w.key + "@" + std::to_string(w.item.gen) + "=" + w.item.body + ":" + w.service;
     return t;
   }
@@ -110,13 +110,13 @@
     return false;
   }
   // What a read of the register's value shows.
-  static State seen(dockbend::State const& v) {
+  static State seen(dockbend::ReplicatedState const& v) {
     State s;
-    for (dockbend::Item const& i : v.items)
-      s.items[i.key] = Item{i.gen.v, i.gone ? "" : i.body};
-    for (Evac const& e : v.evacs)
+    for (dockbend::ConfigItem const& i : v.items)
+      s.items[i.key] = ConfigItem{i.gen.v, i.gone ? "" : i.body};
+    for (Evacuation const& e : v.evacuations)
       if (e.on) s.zones.insert(e.zone);
-    for (Pass const& p : v.passes)
+    for (DrainRun const& p : v.passes)
       s.passes[p.id] = "";
     return s;
   }
@@ -124,7 +124,7 @@
     switch (o.what) {
       case What::amend: {
         std::string t = "amend";
-        for (Want const& w : o.wants)
+        for (QuotaDemand const& w : o.wants)
           t += " " + w.key + "@" + std::to_string(w.item.gen) + "=" + w.item.body +
                (w.service.empty() ? "" : ">" + w.service);
         return t + (o.ok ? " ok" : " refused");
--- a/tests/support/input_mutation.hpp
+++ b/tests/support/input_mutation.hpp
@@ -28,7 +28,7 @@
 struct Outcomes {
   std::uint64_t cases = 0, taken = 0, refused = 0;
   std::vector<std::string> faults;
-  void fault(std::string what) {
+  void error_response(std::string what) {
     if (faults.size() < 20) faults.push_back(std::move(what));
   }
   // Anything but E is a fault.
@@ -41,7 +41,7 @@
     } catch (E const&) {
       ++refused;
     } catch (std::exception const& e) {
-      fault(std::string(what) + ": " + e.what());
+      error_response(std::string(what) + ": " + e.what());
     }
   }
 };
@@ -90,7 +90,7 @@
   void fill(T& x) {
     if constexpr (codec::IsStrong<T>::value)
       fill(x.v);
-    else if constexpr (codec::IsVec<T>::value) {
+    else if constexpr (codec::IsVector<T>::value) {
       x.resize(below(4));
       for (auto& e : x)
         fill(e);
@@ -114,7 +114,7 @@
 template <class T>
 bool all_finite(T const& x) {
   bool ok = true;
-  if constexpr (codec::IsVec<T>::value) {
+  if constexpr (codec::IsVector<T>::value) {
     for (auto const& e : x)
       ok = ok && all_finite(e);
   } else if constexpr (codec::Record<T>) {
@@ -126,17 +126,19 @@
 }
 
 // Every record that one process sends to another.
-using Records =
-    hana::tuple<hana::type<ViaAsk>, hana::type<ViaR>, hana::type<Hello>, hana::type<HelloR>, hana::type<SiteBeat>,
-                hana::type<SiteBeatR>, hana::type<SiteNote>, hana::type<ClockSaid>, hana::type<Feed>, hana::type<News>,
-                hana::type<Digest>, hana::type<State>, hana::type<Delta>, hana::type<Prep>, hana::type<PrepR>,
-                hana::type<Acc>, hana::type<AccR>, hana::type<Commit>, hana::type<Pull>, hana::type<Member>,
-                hana::type<Ask>, hana::type<AskR>, hana::type<Told>, hana::type<Load>, hana::type<Claim>,
-                hana::type<ClaimR>, hana::type<Release>, hana::type<Return>, hana::type<Fetch>, hana::type<FetchR>,
-                hana::type<Rebuild>, hana::type<RebuildR>, hana::type<Hold>, hana::type<HoldFor>, hana::type<HoldR>,
-                hana::type<RollNote>, hana::type<TallyNote>, hana::type<LoanAsk>, hana::type<LoanRet>,
-                hana::type<SurveyAsk>, hana::type<Survey>, hana::type<DutyCmd>, hana::type<DrainSaid>,
-                hana::type<Piece>, hana::type<ProbeR>>;
+using Records = hana::tuple<
+    hana::type<RelayRequest>, hana::type<RelayResponse>, hana::type<HandshakeRequest>, hana::type<HandshakeResponse>,
+    hana::type<ProxyHeartbeat>, hana::type<ProxyHeartbeatResponse>, hana::type<ProxyGossip>, hana::type<ClockReading>,
+    hana::type<SubscribeRequest>, hana::type<StateUpdate>, hana::type<GossipDigest>, hana::type<ReplicatedState>,
+    hana::type<StateDelta>, hana::type<PrepareRequest>, hana::type<PrepareResponse>, hana::type<AcceptRequest>,
+    hana::type<AcceptResponse>, hana::type<CommitNotice>, hana::type<CatchUpRequest>, hana::type<Member>,
+    hana::type<AcquireKeyRequest>, hana::type<AcquireKeyResponse>, hana::type<KeyOutcomeNotice>,
+    hana::type<ProxyLoadReport>, hana::type<ClaimRequest>, hana::type<ClaimResponse>, hana::type<ReleaseRequest>,
+    hana::type<StoredAnswer>, hana::type<FetchAnswerRequest>, hana::type<FetchAnswerResponse>,
+    hana::type<KeyCopyRequest>, hana::type<KeyCopyResponse>, hana::type<StageRequest>, hana::type<StageForwardRequest>,
+    hana::type<StageResponse>, hana::type<RolloutStatusNotice>, hana::type<UsageUpdate>, hana::type<QuotaLeaseRequest>,
+    hana::type<QuotaLeaseResponse>, hana::type<SurveyRequest>, hana::type<TrafficSurvey>, hana::type<HandOverCommand>,
+    hana::type<DrainInstruction>, hana::type<StateChunk>, hana::type<ContactProbeResponse>>;
 
 template <class R>
 void spoil_record(Spoiler& sp, Outcomes& o) {
@@ -144,12 +146,12 @@
   sp.fill(x);
   std::string const good = codec::pack(x);
   o.run<std::bad_alloc>("good record", [&] {
-    if (codec::pack(codec::unpack<R>(good)) != good) o.fault("a record that does not read back");
+    if (codec::pack(codec::unpack<R>(good)) != good) o.error_response("a record that does not read back");
     // A newer sender's further field is skipped.
     std::string const more = good + std::string("\xa2\x06\x03zzz", 6);  // field 100, three bytes
-    if (codec::pack(codec::unpack<R>(more)) != good) o.fault("a further field changed the record");
+    if (codec::pack(codec::unpack<R>(more)) != good) o.error_response("a further field changed the record");
   });
-  o.run<codec::Malformed>("record of an older layout", [&] {
+  o.run<codec::MalformedMessage>("record of an older layout", [&] {
     // It ends after any of its fields; what is lacking is zero, what is there is the same.
     pb_istream_t in = pb_istream_from_buffer(reinterpret_cast<pb_byte_t const*>(good.data()), good.size());
     for (std::uint64_t n = sp.below(10); n > 0 && in.bytes_left > 0; --n) {
@@ -157,16 +159,16 @@
       u32 tag = 0;
       bool eof = false;
       if (!pb_decode_tag(&in, &wt, &tag, &eof) || !pb_skip_field(&in, wt))
-        o.fault("a good record that can't be walked");
+        o.error_response("a good record that can't be walked");
     }
     std::string const old = good.substr(0, good.size() - in.bytes_left);
-    if (codec::pack(codec::unpack<R>(old)) != old) o.fault("an older record reads as something else");
+    if (codec::pack(codec::unpack<R>(old)) != old) o.error_response("an older record reads as something else");
   });
-  o.run<codec::Malformed>("spoiled record", [&] {
+  o.run<codec::MalformedMessage>("spoiled record", [&] {
     R const y = codec::unpack<R>(sp.spoil(good));
-    if (!all_finite(y)) o.fault("a number that is none");
+    if (!all_finite(y)) o.error_response("a number that is none");
     std::string const once = codec::pack(y);
-    if (codec::pack(codec::unpack<R>(once)) != once) o.fault("a spoiled record that reads twice in two ways");
+    if (codec::pack(codec::unpack<R>(once)) != once) o.error_response("a spoiled record that reads twice in two ways");
   });
 }
 
@@ -183,18 +185,18 @@
   std::size_t at = 0;
   bool open() const { return true; }
   std::size_t size() const { return s.size() - at; }
-  void peek(u8* p) const { std::copy_n(s.begin() + static_cast<long>(at), frame::head_len, p); }
+  void peek(u8* p) const { std::copy_n(s.begin() + static_cast<long>(at), frame::kHeaderLength, p); }
   void take(std::string& body) {
-    at += frame::head_len;
+    at += frame::kHeaderLength;
     body = s.substr(at, body.size());
     at += body.size();
   }
 };
 
-inline std::string framed(Kind k, u32 tag, std::string const& body) {
-  u8 h[frame::head_len];
-  frame::write_head(h, frame::Head{static_cast<u32>(body.size()), static_cast<u8>(k), tag});
-  return std::string(h, h + frame::head_len) + body;
+inline std::string framed(MessageType k, u32 tag, std::string const& body) {
+  u8 h[frame::kHeaderLength];
+  frame::write_head(h, frame::Header{static_cast<u32>(body.size()), static_cast<u8>(k), tag});
+  return std::string(h, h + frame::kHeaderLength) + body;
 }
 
 // Letters in a row, cut anywhere; then one byte spoiled: what came before it is handed on all
@@ -211,7 +213,7 @@
       if (sp.chance(30))
         for (int k = 0; k < 9; ++k)
           b += b.substr(0, 4000);
-      Parcel const p = parcel(Kind::news, b);
+      EncodedMessage const p = encode_message(MessageType::state_update, b);
       all += framed(p.kind, 7, p.body());
       bodies.push_back(b);
       ends.push_back(all.size());
@@ -224,12 +226,12 @@
         std::size_t const n = std::min<std::size_t>(s.size() - at, 1 + sp.below(s.size()));
         in.s += s.substr(at, n);
         at += n;
-        bad = frame::each(in, [&](frame::Head const&, std::string const& b) { got.push_back(b); });
+        bad = frame::each(in, [&](frame::Header const&, std::string const& b) { got.push_back(b); });
       }
       return bad;
     };
     o.run<std::bad_alloc>("frames", [&] {
-      if (feed(all) || got != bodies) o.fault("letters lost or changed by the way they were cut");
+      if (feed(all) || got != bodies) o.error_response("letters lost or changed by the way they were cut");
     });
     std::size_t const at = sp.below(all.size());
     std::string worse = all;
@@ -238,12 +240,12 @@
     try {
       ++(feed(worse) ? o.refused : o.taken);
     } catch (std::exception const& e) {
-      o.fault(std::string("thrown out of the frames: ") + e.what());
+      o.error_response(std::string("thrown out of the frames: ") + e.what());
     }
     std::size_t const before =
         static_cast<std::size_t>(std::count_if(ends.begin(), ends.end(), [&](std::size_t e) { return e <= at; }));
     if (got.size() < before || !std::equal(bodies.begin(), bodies.begin() + static_cast<long>(before), got.begin()))
-      o.fault("a letter before the spoiled one is not what was sent");
+      o.error_response("a letter before the spoiled one is not what was sent");
   }
   return o;
 }
@@ -300,36 +302,37 @@
   for (std::uint64_t i = 0; i < rounds; ++i) {
     std::string const body = sp.spoil(good_amend, json_words);
     o.run<json::Fault>("amend", [&] {
-      Amendment const a = read_amend(body);
+      ConfigChange const a = read_amend(body);
       std::size_t standing = 0;
-      std::map<std::string, Item> items;
-      for (Item const& it : a.items) {
+      std::map<std::string, ConfigItem> items;
+      for (ConfigItem const& it : a.items) {
         standing += it.gone || it.key[0] == 'l' ? 0 : 1;
         items[it.key] = it;
       }
-      Compiled const c = Compiled::from(a.items);
-      if (c.size() != standing) o.fault("taken, but not whole on a proxy: " + body);
+      CompiledConfiguration const c = CompiledConfiguration::from(a.items);
+      if (c.size() != standing) o.error_response("taken, but not whole on a proxy: " + body);
       for (auto const& [k, l] : c.all_lanes())
-        if (!(l->deadline > 0 && l->deadline <= 1e9)) o.fault("a deadline that fits no timer: " + body);
-      if (!(c.limits().idle > 0 && c.limits().idle <= 1e9)) o.fault("an idle time that fits no timer: " + body);
-      Amendment const b = read_amend("{\"upsert\":" + render_read(items) + "}");
-      for (Item const& it : b.items)
-        if (!(items[it.key] == it)) o.fault("read back as something else: " + body);
+        if (!(l->deadline > 0 && l->deadline <= 1e9)) o.error_response("a deadline that fits no timer: " + body);
+      if (!(c.limits().idle > 0 && c.limits().idle <= 1e9))
+        o.error_response("an idle time that fits no timer: " + body);
+      ConfigChange const b = read_amend("{\"upsert\":" + render_read(items) + "}");
+      for (ConfigItem const& it : b.items)
+        if (!(items[it.key] == it)) o.error_response("read back as something else: " + body);
     });
     // Bodies as a register of garbled bytes could hold them.
-    Item it;
+    ConfigItem it;
     it.key = std::string(1, "lrsc"[sp.below(4)]) + "/x";
-    it.gen = Gen(i + 1);
+    it.gen = Generation(i + 1);
     it.body = sp.spoil(a_body(it.key[0]), json_words);
     o.run<json::Fault>("item", [&] {
-      Compiled c;
+      CompiledConfiguration c;
       c.put(it);
       c.find("a.example", "/p/");
-      Item gone = it;
-      gone.gen = Gen(i + 2);
+      ConfigItem gone = it;
+      gone.gen = Generation(i + 2);
       gone.gone = true;
       c.put(gone);
-      if (c.size() != 0) o.fault("dropped, and still there: " + it.body);
+      if (c.size() != 0) o.error_response("dropped, and still there: " + it.body);
       render_read({{it.key, it}});
     });
     o.run<json::Fault>("heartbeat", [&] {
@@ -380,15 +383,15 @@
                 s.beatPeriodS >= 0.01 && s.bounds.ackBoundS >= 0.1 && s.bounds.ackBoundS <= 1e9 &&
                 s.bounds.ttlMaxS >= 0 && s.rollout.stages.back() == 1 && s.rollout.enough > 0 &&
                 s.rollout.giveUpS > 0 && s.region_of(s.zone) == s.region;
-      for (Addr const& a : s.seeds)
+      for (Address const& a : s.seeds)
         ok = ok && is_ip(a.ip) && a.port >= 1 && a.port <= 65535;
-      if (!ok) o.fault("taken: " + text);
-    } catch (BadSetting const& e) {
+      if (!ok) o.error_response("taken: " + text);
+    } catch (SettingsError const& e) {
       ++o.refused;
       if (e.field.empty() || std::string(e.what()).find('\n') != std::string::npos)
-        o.fault("no field, or more than a line: " + std::string(e.what()));
+        o.error_response("no field, or more than a line: " + std::string(e.what()));
     } catch (std::exception const& e) {
-      o.fault(std::string("settings: ") + e.what());
+      o.error_response(std::string("settings: ") + e.what());
     }
   }
   return o;
@@ -426,14 +429,14 @@
                                         "s"};
   int const codes[] = {200, 200, 204, 304, 500, 503, 421, 429, 99, 600, 0, -1};
   for (std::uint64_t i = 0; i < rounds; ++i) {
-    Reply r;
+    UpstreamResponse r;
     r.code = codes[sp.below(std::size(codes))];
     r.body = sp.below(6);
     for (std::uint64_t n = sp.below(6); n > 0; --n)
       r.heads.emplace_back(names[sp.below(names.size())], values[sp.below(values.size())]);
     ++o.cases;
-    End const e = judge(r, "a1");
-    ++(e == End::broken ? o.refused : o.taken);
+    AttemptResult const e = judge(r, "a1");
+    ++(e == AttemptResult::broken ? o.refused : o.taken);
     std::size_t lengths = 0, codings = 0, ids = 0, others = 0;
     for (auto const& [k, v] : r.heads) {
       lengths += same_name(k, "Content-Length") ? 1 : 0;
@@ -441,13 +444,13 @@
       ids += same_name(k, "X-Attempt-Id") && v == "a1" ? 1 : 0;
       others += same_name(k, "X-Attempt-Id") && v != "a1" ? 1 : 0;
     }
-    if (e != End::broken && (lengths + codings > 1 || others > 0 || r.code < 200 || r.code > 599))
-      o.fault("an ambiguous answer passed, code " + std::to_string(r.code));
-    if (e == End::whole && ids == 0) o.fault("an answer without an id passed");
+    if (e != AttemptResult::broken && (lengths + codings > 1 || others > 0 || r.code < 200 || r.code > 599))
+      o.error_response("an ambiguous answer passed, code " + std::to_string(r.code));
+    if (e == AttemptResult::whole && ids == 0) o.error_response("an answer without an id passed");
     if (well_formed(r.heads) && std::any_of(r.heads.begin(), r.heads.end(), [](auto const& h) {
           return h.first.empty() || h.first.find_first_of(" \r") != std::string::npos;
         }))
-      o.fault("a name that is no token passed");
+      o.error_response("a name that is no token passed");
   }
   return o;
 }
@@ -456,51 +459,52 @@
 inline Outcomes votes(std::uint64_t seed, std::uint64_t rounds) {
   Outcomes o;
   Spoiler sp(seed);
-  State founding;
+  ReplicatedState founding;
   for (int i = 1; i <= 3; ++i) {
     Member m;
     m.ip = "10.0.0." + std::to_string(i);
-    m.life = Life(1);
-    founding.roster.push_back(m);
+    m.incarnation = Incarnation(1);
+    founding.membership.push_back(m);
   }
-  Acceptor acc(Life(1), Ballot(), founding);
+  Acceptor acc(Incarnation(1), Ballot(), founding);
   Proposer prop("10.0.0.1");
   for (std::uint64_t i = 0; i < rounds; ++i) {
-    State const best = *acc.state();
+    ReplicatedState const best = *acc.state();
     auto const asks = prop.begin(
-        best, [](State& s) { return ++s.to_fix > 0; }, 0, acc.state()->epoch);
+        best, [](ReplicatedState& s) { return ++s.to_fix > 0; }, 0, acc.state()->epoch);
     if (asks.empty()) {
-      o.fault("a value without a roster stands");
+      o.error_response("a value without a roster stands");
       break;
     }
-    Ballot const promised = acc.promised(), held = best.bal;
-    PrepR pr;
-    AccR ar;
-    o.run<codec::Malformed>("prep", [&] { acc.prepare(codec::unpack<Prep>(sp.spoil(codec::pack(asks[0].prep))), pr); });
+    Ballot const promised = acc.promised(), held = best.ballot;
+    PrepareResponse pr;
+    AcceptResponse ar;
+    o.run<codec::MalformedMessage>(
+        "prep", [&] { acc.prepare(codec::unpack<PrepareRequest>(sp.spoil(codec::pack(asks[0].prep))), pr); });
     std::vector<Proposer::Out> accs;
     for (char const* ip : {"10.0.0.1", "10.0.0.2"})
-      o.run<codec::Malformed>("prepR", [&] {
-        PrepR good;
+      o.run<codec::MalformedMessage>("prepR", [&] {
+        PrepareResponse good;
         good.ok = true;
-        good.bal = asks[0].prep.bal;
-        good.promised = good.bal;
-        good.life = Life(1);
+        good.ballot = asks[0].prep.ballot;
+        good.promised = good.ballot;
+        good.incarnation = Incarnation(1);
         std::string const body = codec::pack(good);
-        auto const v = prop.on_prep(ip, codec::unpack<PrepR>(sp.chance(50) ? sp.spoil(body) : body));
+        auto const v = prop.on_prep(ip, codec::unpack<PrepareResponse>(sp.chance(50) ? sp.spoil(body) : body));
         accs.insert(accs.end(), v.begin(), v.end());
       });
     for (auto const& x : accs)
       if (!x.is_prep)
-        o.run<codec::Malformed>("acc", [&] {
+        o.run<codec::MalformedMessage>("acc", [&] {
           std::string const body = codec::pack(x.acc);
-          acc.accept(codec::unpack<Acc>(sp.chance(70) ? sp.spoil(body) : body), ar);
+          acc.accept(codec::unpack<AcceptRequest>(sp.chance(70) ? sp.spoil(body) : body), ar);
         });
-    if (acc.promised() < promised || acc.state()->bal < held) o.fault("a disk went back");
-    if (acc.state()->roster.empty() || acc.state()->epoch.v > acc.state()->bal.v)
-      o.fault("a value that no round could write stands");
-    if (acc.promised() > last_ballot) o.fault("outbid for ever");
+    if (acc.promised() < promised || acc.state()->ballot < held) o.error_response("a disk went back");
+    if (acc.state()->membership.empty() || acc.state()->epoch.v > acc.state()->ballot.v)
+      o.error_response("a value that no round could write stands");
+    if (acc.promised() > kLastBallot) o.error_response("outbid for ever");
     if (acc.promised().v >> 62 != 0)
-      acc = Acceptor(Life(1), Ballot(), founding);  // far up: begin anew, for it must not overflow here either
+      acc = Acceptor(Incarnation(1), Ballot(), founding);  // far up: begin anew, for it must not overflow here either
     prop.abandon();
   }
   return o;
--- a/tests/support/simulated_day.hpp
+++ b/tests/support/simulated_day.hpp
@@ -13,7 +13,7 @@
 // How a node handles what it is sent. A test may plant a fault by another one.
 struct Handling {
   template <class O>
-  static Outcome apply(State& s, O const& o) {
+  static CommandResult apply(ReplicatedState& s, O const& o) {
     return o.apply(s);
   }
   static constexpr bool reads_own = false;  // a read is answered from the node's own value
@@ -36,7 +36,7 @@
 class Day {
  public:
   using Op = Control::Op;
-  using Call = provenance::Recorded<Op>;
+  using Call = linearizability::RecordedOperation<Op>;
 
   Day(unsigned seed, DayPlan p) : net(seed, p.nodes), p_(p), rnd(seed * 7919 + 1) {
     for (auto& [ip, n] : net.nodes)
@@ -85,14 +85,14 @@
 
  private:
   struct Waiting {
-    std::function<bool(State&)> change;
-    std::function<void(State const*)> done;
+    std::function<bool(ReplicatedState&)> change;
+    std::function<void(ReplicatedState const*)> done;
     u64 until = 0;
   };
   struct Led {
     Rollout ro;
-    Amend o;
-    std::function<void(Outcome const&)> done;
+    AmendConfiguration o;
+    std::function<void(CommandResult const&)> done;
     std::vector<std::pair<u64, std::string>> words;  // sites that will say that they hold it
   };
   // A node's queue, as its archivist has it. Memory: lost with the process.
@@ -132,21 +132,21 @@
     if (p_.members && now % 120 == 0) {
       std::string const by = Net::name(static_cast<int>(draw(net.nodes.size()))),
                         who = Net::name(static_cast<int>(draw(net.nodes.size())));
-      Life const life = net.nodes.at(who).acc->life();
+      Incarnation const incarnation = net.nodes.at(who).acc->incarnation();
       if (net.nodes.at(by).up)
         submit(
             by,
-            [this, who, life](State& s) {
-              for (Member& m : s.roster)
+            [this, who, incarnation](ReplicatedState& s) {
+              for (Member& m : s.membership)
                 m.whole = true;
-              Member m = member(who, life);
+              Member m = member(who, incarnation);
               m.whole = true;
               bool const in = s.member(who) != nullptr;
-              bool const stepped = in ? s.dismiss(who, life) : s.admit(m);
+              bool const stepped = in ? s.dismiss(who, incarnation) : s.admit(m);
               steps += stepped ? 1 : 0;
               return stepped;
             },
-            [](State const*) {});
+            [](ReplicatedState const*) {});
     }
     if (p_.calm == 0 || now % static_cast<u64>(p_.calm) != 0) return;
     switch (draw(5)) {
@@ -176,7 +176,8 @@
       }
   }
 
-  void submit(std::string const& ip, std::function<bool(State&)> change, std::function<void(State const*)> done) {
+  void submit(std::string const& ip, std::function<bool(ReplicatedState&)> change,
+              std::function<void(ReplicatedState const*)> done) {
     desks_.at(ip).calls.push_back({std::move(change), std::move(done), now + patience});
     pump(ip);
   }
@@ -193,7 +194,7 @@
     d.batch.assign(std::make_move_iterator(d.calls.begin()), std::make_move_iterator(d.calls.end()));
     d.calls.clear();
     d.since = now;
-    net.propose(ip, [this, ip](State& s) {
+    net.propose(ip, [this, ip](ReplicatedState& s) {
       bool any = false;
       for (Waiting& w : desks_.at(ip).batch)
         any = w.change(s) || any;
@@ -216,7 +217,7 @@
     if (!n.prop->changed() && !H::any_round) return back(d);
     std::vector<Waiting> b;
     b.swap(d.batch);
-    State const v = n.prop->value();
+    ReplicatedState const v = n.prop->value();
     for (Waiting& w : b)
       w.done(&v);
   }
@@ -235,9 +236,9 @@
     if (draw(60) == 0 && n.committed)
       net.bag.push_back(Msg{ip, Net::name(static_cast<int>(draw(net.nodes.size()))), 4, codec::pack(*n.committed)});
     if (draw(150) == 0 && n.acc->state() && n.prop->idle() && d.calls.empty() &&
-        (!n.committed || n.acc->state()->bal > n.committed->bal))
+        (!n.committed || n.acc->state()->ballot > n.committed->ballot))
       submit(
-          ip, [](State&) { return false; }, [](State const*) {});
+          ip, [](ReplicatedState&) { return false; }, [](ReplicatedState const*) {});
     pump(ip);
     lead(ip, d);
   }
@@ -247,24 +248,24 @@
     Node& n = net.nodes.at(ip);
     std::map<std::string, std::string> const sites{{"s1", "a"}, {"s2", "b"}, {"s3", "c"}};
     for (Led& l : d.led) {
-      if (is_over(l.ro.phase()) || l.ro.phase() == RollPhase::committing) continue;
+      if (is_over(l.ro.phase()) || l.ro.phase() == RolloutPhase::committing) continue;
       for (auto const& [at, s] : l.words)
         if (at <= now) l.ro.heard(s, true);
       if (n.committed && !brings_news(n.committed->items, l.o.asked())) l.ro.overtaken();
-      auto const st = l.ro.step(static_cast<Secs>(now), sites);
+      auto const st = l.ro.step(static_cast<Seconds>(now), sites);
       for (std::string const& s : st.send)
         if (!chance(0.1)) l.words.emplace_back(now + draw(25), s);
-      if (l.ro.phase() == RollPhase::fell_back) l.done(unsettled("fell back"));
-      if (l.ro.phase() == RollPhase::overtaken) {
+      if (l.ro.phase() == RolloutPhase::fell_back) l.done(unsettled("fell back"));
+      if (l.ro.phase() == RolloutPhase::overtaken) {
         ++overtaken;
         order(ip, l.o, l.done);
       }
       if (st.commit) {
         u64 const id = l.ro.id();
-        order(ip, l.o, [this, ip, id, done = l.done](Outcome const& o) {
+        order(ip, l.o, [this, ip, id, done = l.done](CommandResult const& o) {
           done(o);
           for (Led& x : desks_.at(ip).led)
-            if (x.ro.id() == id) x.ro.committed(o.ruling == Ruling::taken);
+            if (x.ro.id() == id) x.ro.committed(o.ruling == CommandStatus::taken);
         });
       }
     }
@@ -275,84 +276,88 @@
   struct By {
     Make make;
     O o;
-    Outcome apply(State& s) const { return H::forgets ? H::apply(s, make(&s)) : H::apply(s, o); }
+    CommandResult apply(ReplicatedState& s) const { return H::forgets ? H::apply(s, make(&s)) : H::apply(s, o); }
   };
   // make: the order, of a node that knows this value.
   template <class Make>
-  void order(std::string const& ip, Make make, std::function<void(Outcome const&)> done) {
+  void order(std::string const& ip, Make make, std::function<void(CommandResult const&)> done) {
     Node const& n = net.nodes.at(ip);
     auto o = make(n.committed ? &*n.committed : nullptr);
     order(ip, make, std::move(o), std::move(done));
   }
   template <class Make, class O>
-  void order(std::string const& ip, Make make, O o, std::function<void(Outcome const&)> done) {
+  void order(std::string const& ip, Make make, O o, std::function<void(CommandResult const&)> done) {
     if (H::hasty) {
-      done(Outcome{Ruling::taken, true, "", 0});
-      done = [](Outcome const&) {};
+      done(CommandResult{CommandStatus::taken, true, "", 0});
+      done = [](CommandResult const&) {};
     }
-    carry([this, ip](auto c, auto f, Secs) { submit(ip, std::move(c), std::move(f)); },
+    carry([this, ip](auto c, auto f, Seconds) { submit(ip, std::move(c), std::move(f)); },
           By<Make, O>{std::move(make), std::move(o)}, 0, std::move(done));
   }
-  void order(std::string const& ip, Amend const& o, std::function<void(Outcome const&)> done) {
+  void order(std::string const& ip, AmendConfiguration const& o, std::function<void(CommandResult const&)> done) {
     order(
-        ip, [a = o.asked()](State const* known) { return Amend(a, known); }, o, std::move(done));
+        ip, [a = o.asked()](ReplicatedState const* known) { return AmendConfiguration(a, known); }, o, std::move(done));
   }
 
-  void received(std::string const& ip, Op const& op, std::function<void(Outcome const&, Control::State const&)> done) {
+  void received(std::string const& ip, Op const& op,
+                std::function<void(CommandResult const&, Control::State const&)> done) {
     Node& n = net.nodes.at(ip);
-    State const* const known = n.committed ? &*n.committed : nullptr;
-    auto const plain = [done](Outcome const& o) { done(o, {}); };
+    ReplicatedState const* const known = n.committed ? &*n.committed : nullptr;
+    auto const plain = [done](CommandResult const& o) { done(o, {}); };
     switch (op.what) {
       case Control::What::read:
         if (H::reads_own) {
           if (n.committed)
-            done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*n.committed));
+            done(CommandResult{CommandStatus::taken, false, "", 0}, Control::seen(*n.committed));
           else
             done(unsettled(""), {});
           return;
         }
         return submit(
-            ip, [](State&) { return false; },
-            [done](State const* s) {
+            ip, [](ReplicatedState&) { return false; },
+            [done](ReplicatedState const* s) {
               if (s == nullptr)
                 done(unsettled(""), {});
               else
-                done(Outcome{Ruling::taken, false, "", 0}, Control::seen(*s));
+                done(CommandResult{CommandStatus::taken, false, "", 0}, Control::seen(*s));
             });
       case Control::What::evacuate:
         return order(
-            ip, [op](State const* k) { return Evacuate(op.zone, op.on, k); }, plain);
+            ip, [op](ReplicatedState const* k) { return SetEvacuation(op.zone, op.on, k); }, plain);
       case Control::What::start: {
-        Order o;
+        DrainOrder o;
         o.id = std::to_string(op.pass);
         o.patienceS = 1;
-        OrderUnit u;
+        DrainOrderUnit u;
         u.name = o.id + op.body;
         o.units.push_back(u);
         return order(
-            ip, [o](State const* k) { return StartPass(o, k); }, plain);
+            ip, [o](ReplicatedState const* k) { return StartDrain(o, k); }, plain);
       }
       case Control::What::amend: {
-        Amendment a;
-        for (Control::Want const& w : op.wants) {
-          Item i;
+        ConfigChange a;
+        for (Control::QuotaDemand const& w : op.wants) {
+          ConfigItem i;
           i.key = w.key;
-          i.gen = Gen(w.item.gen);
+          i.gen = Generation(w.item.gen);
           i.gone = w.item.body.empty();
           i.body = w.item.body;
           a.items.push_back(i);
           if (!w.service.empty()) a.needs.push_back({w.key, w.service, w.key});
         }
-        std::map<std::string, Item> const items = n.committed ? n.committed->by_key() : std::map<std::string, Item>{};
+        std::map<std::string, ConfigItem> const items =
+            n.committed ? n.committed->by_key() : std::map<std::string, ConfigItem>{};
         auto copy = items;
         std::string f;
-        if (!p_.staged || join(copy, a, f) != Joined::changed) return order(ip, Amend(a, known), plain);
+        if (!p_.staged || join(copy, a, f) != MergeResult::changed)
+          return order(ip, AmendConfiguration(a, known), plain);
         ++led;
-        RolloutPlan rp;
+        RolloutOptions rp;
         rp.stageS = 30;
         rp.resendS = 25;
         rp.giveUpS = 120;
-        desks_.at(ip).led.push_back(Led{Rollout(rnd() | 1, rp, static_cast<Secs>(now)), Amend(a, known), plain, {}});
+        desks_.at(ip).led.push_back(
+            Led{Rollout(rnd() | 1, rp, static_cast<Seconds>(now)), AmendConfiguration(a, known), plain, {}});
       }
     }
   }
@@ -389,7 +394,7 @@
       // Uneven steps, at times two on one version, at times an older one.
       u64 const gen = 1 + static_cast<u64>(asked_) / 4 * 3 + draw(4) -
                       std::min<u64>(static_cast<u64>(asked_) / 4 * 3, draw(9) == 0 ? 9 : 0);
-      Control::Want w{key, {gen, body(gen)}, ""};
+      Control::QuotaDemand w{key, {gen, body(gen)}, ""};
       if (!service && !w.item.body.empty() && draw(2) == 0) w.service = std::to_string(draw(2));
       o.wants.push_back(w);
     }
@@ -431,13 +436,13 @@
     }
     if (c.op.what == Control::What::evacuate) {  // each attempt is an order of its own until one is acknowledged
       c.attempts.push_back(history.size());
-      history.push_back({c.op, now, provenance::never, false});
+      history.push_back({c.op, now, linearizability::kNever, false});
     }
     bool const lost = chance(p_.lose_answer);
-    received(ip, c.op, [this, i, me, lost](Outcome const& o, Control::State const& seen) {
+    received(ip, c.op, [this, i, me, lost](CommandResult const& o, Control::State const& seen) {
       Caller& x = callers_[i];
       if (lost || !x.busy || x.attempt != me || !x.sent) return;
-      if (o.ruling == Ruling::unsettled) {
+      if (o.ruling == CommandStatus::unsettled) {
         x.sent = false;
         x.at = now + 5 + draw(20);
         return;
@@ -445,9 +450,9 @@
       answered(x, o, seen);
     });
   }
-  void answered(Caller& c, Outcome const& o, Control::State const& seen) {
+  void answered(Caller& c, CommandResult const& o, Control::State const& seen) {
     c.busy = false;
-    c.op.ok = o.ruling == Ruling::taken;
+    c.op.ok = o.ruling == CommandStatus::taken;
     c.op.seen = seen;
     if (c.op.what == Control::What::evacuate) {
       // Earlier ones of the same caller may have had their effect, but no more from now on.
@@ -464,7 +469,7 @@
   void give_up(Caller& c) {
     c.busy = false;
     ++unknown;
-    if (c.op.what != Control::What::evacuate) history.push_back({c.op, c.from, provenance::never, false});
+    if (c.op.what != Control::What::evacuate) history.push_back({c.op, c.from, linearizability::kNever, false});
   }
 
   DayPlan p_;
--- a/tests/support/simulated_network.hpp
+++ b/tests/support/simulated_network.hpp
@@ -16,15 +16,15 @@
   std::string ip;
   std::unique_ptr<Acceptor> acc;
   std::unique_ptr<Proposer> prop;
-  std::optional<State> committed;
+  std::optional<ReplicatedState> committed;
   // What the disk holds; a power loss goes back to it.
   Ballot disk_promised;
-  std::optional<State> disk_state;
+  std::optional<ReplicatedState> disk_state;
   bool up = true, votes = true;
   Proposer::Change want;
-  State const* best() const {
-    State const* b = committed ? &*committed : nullptr;
-    if (acc->state() && (b == nullptr || acc->state()->bal > b->bal)) b = &*acc->state();
+  ReplicatedState const* best() const {
+    ReplicatedState const* b = committed ? &*committed : nullptr;
+    if (acc->state() && (b == nullptr || acc->state()->ballot > b->ballot)) b = &*acc->state();
     return b;
   }
 };
@@ -35,10 +35,10 @@
   std::string body;
 };
 
-inline Member member(std::string const& ip, Life l) {
+inline Member member(std::string const& ip, Incarnation l) {
   Member m;
   m.ip = ip;
-  m.life = l;
+  m.incarnation = l;
   return m;
 }
 
@@ -46,17 +46,17 @@
  public:
   explicit Net(unsigned seed, int founders) : rnd(seed) {
     for (int i = 0; i < founders; ++i)
-      founding.roster.push_back(member(name(i), Life(1)));
+      founding.membership.push_back(member(name(i), Incarnation(1)));
     for (int i = 0; i < founders; ++i)
-      add(i, Life(1), true);
+      add(i, Incarnation(1), true);
   }
   static std::string name(int i) { return "10.0.0." + std::to_string(i + 1); }
 
-  Node& add(int i, Life l, bool knows) {
+  Node& add(int i, Incarnation l, bool knows) {
     Node& n = nodes[name(i)];
     n = Node{};
     n.ip = name(i);
-    std::optional<State> s;
+    std::optional<ReplicatedState> s;
     if (knows) s = founding;
     n.acc = std::make_unique<Acceptor>(l, Ballot(), s);
     n.disk_state = s;
@@ -73,7 +73,7 @@
   void propose(std::string const& ip, Proposer::Change c) {
     Node& n = nodes.at(ip);
     n.want = std::move(c);
-    State const* b = n.best();
+    ReplicatedState const* b = n.best();
     if (b == nullptr) return;
     n.prop->saw(n.acc->promised());
     send(n, n.prop->begin(*b, n.want, 0, n.committed ? std::optional<Epoch>(n.committed->epoch) : std::nullopt));
@@ -106,34 +106,34 @@
     switch (m.what) {
       case 0: {
         if (!n.votes) return;
-        PrepR r;
-        if (n.acc->prepare(codec::unpack<Prep>(m.body), r).write) save();
+        PrepareResponse r;
+        if (n.acc->prepare(codec::unpack<PrepareRequest>(m.body), r).write) save();
         back(1, codec::pack(r));
         break;
       }
       case 2: {
         if (!n.votes) return;
-        AccR r;
-        if (n.acc->accept(codec::unpack<Acc>(m.body), r).write) save();
+        AcceptResponse r;
+        if (n.acc->accept(codec::unpack<AcceptRequest>(m.body), r).write) save();
         back(3, codec::pack(r));
         break;
       }
       case 1: {
         bool const was = n.prop->done();
-        send(n, n.prop->on_prep(m.from, codec::unpack<PrepR>(m.body)));
+        send(n, n.prop->on_prep(m.from, codec::unpack<PrepareResponse>(m.body)));
         if (!was && n.prop->done() && over) over(n);
         break;
       }
       case 3: {
         bool const was = n.prop->done();
-        send(n, n.prop->on_acc(m.from, codec::unpack<AccR>(m.body)));
+        send(n, n.prop->on_acc(m.from, codec::unpack<AcceptResponse>(m.body)));
         if (!was && n.prop->done() && n.prop->won()) won(n);
         if (!was && n.prop->done() && over) over(n);
         break;
       }
       case 4: {
-        State const s = codec::unpack<State>(m.body);
-        if (!n.committed || s.bal > n.committed->bal) n.committed = s;
+        ReplicatedState const s = codec::unpack<ReplicatedState>(m.body);
+        if (!n.committed || s.ballot > n.committed->ballot) n.committed = s;
         n.acc->learn(s);
         break;
       }
@@ -142,9 +142,9 @@
   }
 
   void won(Node& n) {
-    State const s = n.prop->value();
+    ReplicatedState const s = n.prop->value();
     history.push_back(s);
-    if (!n.committed || s.bal > n.committed->bal) n.committed = s;
+    if (!n.committed || s.ballot > n.committed->ballot) n.committed = s;
     n.acc->learn(s);
     for (auto& [ip, o] : nodes)
       if (ip != n.ip) bag.push_back(Msg{n.ip, ip, 4, codec::pack(s)});
@@ -153,7 +153,7 @@
   // Power goes and comes back: memory is lost, the disk stays.
   void reboot(std::string const& ip) {
     Node& n = nodes.at(ip);
-    Life const l = n.acc->life();
+    Incarnation const l = n.acc->incarnation();
     n.acc = std::make_unique<Acceptor>(l, n.disk_promised, n.disk_state);
     n.prop = std::make_unique<Proposer>(ip);
     n.prop->saw(n.disk_promised);
@@ -161,7 +161,7 @@
     n.up = true;
   }
   // The disk is lost: a new life that knows nothing.
-  void wipe(std::string const& ip, Life l) {
+  void wipe(std::string const& ip, Incarnation l) {
     Node& n = nodes.at(ip);
     n.acc = std::make_unique<Acceptor>(l, Ballot(), std::nullopt);
     n.prop = std::make_unique<Proposer>(ip);
@@ -173,35 +173,35 @@
 
   std::function<void(Node&)> over;  // a round ended, won or lost
   std::mt19937 rnd;
-  State founding;
+  ReplicatedState founding;
   std::map<std::string, Node> nodes;
   std::vector<Msg> bag;
-  std::vector<State> history;  // as their proposers saw them won
+  std::vector<ReplicatedState> history;  // as their proposers saw them won
   std::set<std::pair<std::string, std::string>> cut;
 };
 
 inline Proposer::Change put_item(std::string key, u64 gen, std::string body) {
-  return [=](State& s) {
+  return [=](ReplicatedState& s) {
     auto m = s.by_key();
-    Amendment a;
-    a.items.push_back(Item{key, Gen(gen), false, body});
+    ConfigChange a;
+    a.items.push_back(ConfigItem{key, Generation(gen), false, body});
     std::string f;
-    if (join(m, a, f) != Joined::changed) return false;
+    if (join(m, a, f) != MergeResult::changed) return false;
     s.items.clear();
     for (auto& [k, i] : m)
       s.items.push_back(i);
     return true;
   };
 }
-inline Proposer::Change join_member(std::string ip, Life l) {
-  return [=](State& s) {
-    for (Member& x : s.roster)
+inline Proposer::Change join_member(std::string ip, Incarnation l) {
+  return [=](ReplicatedState& s) {
+    for (Member& x : s.membership)
       if (x.ip == ip) {
-        if (x.life == l) return false;
-        x.life = l;
+        if (x.incarnation == l) return false;
+        x.incarnation = l;
         return true;
       }
-    s.roster.push_back(member(ip, l));
+    s.membership.push_back(member(ip, l));
     return true;
   };
 }
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -14,7 +14,7 @@
 
 // A server's bare socket on loopback: counts what it got, answers and closes when told to.
 struct Sink {
-  event_base* eb = precise();
+  event_base* loop = precise();
   evconnlistener* ls = nullptr;
   std::vector<bufferevent*> conns;
   std::size_t bytes = 0;
@@ -31,10 +31,10 @@
     sa.sin_family = AF_INET;
     sa.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     ls = evconnlistener_new_bind(
-        eb,
+        loop,
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* p) {
           Sink* const s = static_cast<Sink*>(p);
-          bufferevent* const b = bufferevent_socket_new(s->eb, fd, BEV_OPT_CLOSE_ON_FREE);
+          bufferevent* const b = bufferevent_socket_new(s->loop, fd, BEV_OPT_CLOSE_ON_FREE);
           bufferevent_setcb(
               b,
               [](bufferevent* x, void* q) {
@@ -54,11 +54,11 @@
     for (bufferevent* b : conns)
       bufferevent_free(b);
     evconnlistener_free(ls);
-    event_base_free(eb);
+    event_base_free(loop);
   }
   void turn(int n) {
     for (int i = 0; i < n; ++i)
-      event_base_loop(eb, EVLOOP_NONBLOCK);
+      event_base_loop(loop, EVLOOP_NONBLOCK);
   }
   template <class F>
   void until(F f) {
@@ -71,11 +71,11 @@
   void within_the_turn(
       std::function<void()> f, std::function<void()> first = [] {}) {
     bool ran = false;
-    after(eb, 1e-5, [&] {
+    after(loop, 1e-5, [&] {
       ran = true;
       f();
     });
-    for (Secs const t = now_s(); now_s() - t < 0.001;) {
+    for (Seconds const t = steady_now(); steady_now() - t < 0.001;) {
     }
     first();
     turn(1);
@@ -103,25 +103,25 @@
 struct Desk {
   Sink sink;
   Settings st = settings();
-  Assign as{st};
-  Shelf shelf{sink.eb, as};
+  LoadBalancer as{st};
+  ConnectionPool shelf{sink.loop, as};
   int returns = 0;
   bool whole = false;
   Desk() {
-    Assign::Seen s;
+    LoadBalancer::Seen s;
     s.id = "s1";
     s.service = "p";
     s.address = "127.0.0.1:" + std::to_string(sink.port);
     s.zone = "elm";
     s.ready = true;
     as.table({s}, 0);
-    shelf.on_return.connect([this](Chan&, evhttp_request* r) {
+    shelf.on_return.connect([this](UpstreamConnection&, evhttp_request* r) {
       ++returns;
       whole = r != nullptr && evhttp_request_get_response_code(r) == 200;
     });
   }
-  Chan& send(Secs now) {
-    Chan& c = shelf.take(ServerIx(0), 60, now, nullptr);
+  UpstreamConnection& send(Seconds now) {
+    UpstreamConnection& c = shelf.take(ServerIndex(0), 60, now, nullptr);
     evhttp_request* const u = shelf.request(c);
     evhttp_add_header(evhttp_request_get_output_headers(u), "Connection", "keep-alive");
     cr_assert(shelf.send(c, u, EVHTTP_REQ_GET, "/x", 1000));
@@ -138,7 +138,7 @@
   int before = 0;
   for (int turns = -1; turns < 8; ++turns) {
     Desk d;
-    Chan& c = d.send(0);
+    UpstreamConnection& c = d.send(0);
     bool left = false;
     auto const let_go = [&] {
       left = c.sent;
@@ -164,7 +164,7 @@
 // it: libevent neither sends it again nor elsewhere, and what it throws away is no send.
 Test(shelf, a_close_met_by_a_send_is_known_to_have_sent_nothing) {
   Desk d;
-  Chan& c = d.send(0);
+  UpstreamConnection& c = d.send(0);
   d.sink.until([&] { return d.sink.bytes > 0; });
   cr_assert(c.sent);
   d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -184,7 +184,7 @@
 // After the first byte a close says nothing of whether it ran; and it is not sent again.
 Test(shelf, a_close_after_the_first_byte_leaves_it_open_and_sends_nothing_again) {
   Desk d;
-  Chan& c = d.send(0);
+  UpstreamConnection& c = d.send(0);
   d.sink.until([&] { return d.sink.bytes > 0; });
   std::size_t const n = d.sink.bytes;
   d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok");
@@ -199,12 +199,12 @@
 // How long until libevent gives up on silence at this socket; < 0: no such limit stands.
 struct SilenceLimit {
   evutil_socket_t fd;
-  Secs left = -1;
+  Seconds left = -1;
 };
-Secs silence_limit(event_base* eb, Chan& c) {
+Seconds silence_limit(event_base* loop, UpstreamConnection& c) {
   SilenceLimit l{bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec))};
   event_base_foreach_event(
-      eb,
+      loop,
       [](event_base const*, event const* e, void* p) {
         SilenceLimit& x = *static_cast<SilenceLimit*>(p);
         timeval at{}, now{};
@@ -212,7 +212,7 @@
           return 0;
         // event_pending speaks of the wall clock.
         evutil_gettimeofday(&now, nullptr);
-        x.left = static_cast<Secs>(at.tv_sec - now.tv_sec) + static_cast<Secs>(at.tv_usec - now.tv_usec) * 1e-6;
+        x.left = static_cast<Seconds>(at.tv_sec - now.tv_sec) + static_cast<Seconds>(at.tv_usec - now.tv_usec) * 1e-6;
         return 0;
       },
       &l);
@@ -223,20 +223,20 @@
 // The deadline of a request is up to its manifest: the channel has no shorter limit of its own.
 Test(shelf, a_servers_silence_ends_no_request) {
   Desk d;
-  Chan* c = &d.send(0);
+  UpstreamConnection* c = &d.send(0);
   for (int i = 0; i < 2; ++i) {  // on a new channel and on a kept one
     std::size_t const before = d.sink.bytes;
     d.sink.until([&] { return d.sink.bytes > before; });
     d.sink.turn(3);
-    cr_assert_gt(silence_limit(d.sink.eb, *c), 1e9);
+    cr_assert_gt(silence_limit(d.sink.loop, *c), 1e9);
     d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     d.sink.until([&] { return d.returns == i + 1; });
     cr_assert(d.whole);
     d.shelf.keep(*c, 30, 0);
     d.sink.turn(3);
-    cr_assert_lt(silence_limit(d.sink.eb, *c), 61);
+    cr_assert_lt(silence_limit(d.sink.loop, *c), 61);
     if (i == 0) {
-      Chan& again = d.send(1);
+      UpstreamConnection& again = d.send(1);
       cr_assert_eq(&again, c);
     }
   }
--- a/tests/usage/usage_test.cpp
+++ b/tests/usage/usage_test.cpp
@@ -12,20 +12,20 @@
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::mt19937 rnd(seed);
     std::map<std::string, u64> truth;
-    std::vector<TallyRow> sent;
-    Totals relay, holder;
-    for (u64 life = 1; life <= 12; ++life) {
-      Counter c(life);
+    std::vector<UsageRow> sent;
+    UsageTotals relay, holder;
+    for (u64 incarnation = 1; incarnation <= 12; ++incarnation) {
+      UsageCounter c(incarnation);
       for (int i = 0; i < 200; ++i) {
         std::string const t = "t" + std::to_string(rnd() % 5);
-        c.began(t, Window(7 + rnd() % 2));
+        c.began(t, UsageWindow(7 + rnd() % 2));
         if (rnd() % 20 == 0)
-          for (TallyRow& r : c.take(rnd() % 4 == 0).rows)
+          for (UsageRow& r : c.take(rnd() % 4 == 0).rows)
             sent.push_back(std::move(r));
       }
       for (int k = 0; k < 5; ++k)
-        truth["t" + std::to_string(k)] += c.count("t" + std::to_string(k), Window(7));
-      for (TallyRow& r : c.take(true).rows)
+        truth["t" + std::to_string(k)] += c.count("t" + std::to_string(k), UsageWindow(7));
+      for (UsageRow& r : c.take(true).rows)
         sent.push_back(std::move(r));
     }
     for (std::size_t i = 0; i < 30; ++i)
@@ -34,31 +34,31 @@
     for (std::size_t i = 0; i < sent.size(); ++i) {
       relay.join(sent[i]);
       if (rnd() % 3 == 0)
-        for (TallyRow const& r : relay.take(false).rows)
+        for (UsageRow const& r : relay.take(false).rows)
           holder.join(r);
       if (i == sent.size() / 2) {  // a new holder: it gets all
-        holder = Totals();
-        for (TallyRow const& r : relay.take(true).rows)
+        holder = UsageTotals();
+        for (UsageRow const& r : relay.take(true).rows)
           holder.join(r);
       }
     }
-    for (TallyRow const& r : relay.take(false).rows)
+    for (UsageRow const& r : relay.take(false).rows)
       holder.join(r);
-    cr_assert(holder.sum(Window(7)) == truth, "seed %u", seed);
+    cr_assert(holder.sum(UsageWindow(7)) == truth, "seed %u", seed);
   }
 }
 
 Test(tally, nothing_of_reported_windows_comes_back) {
-  Totals t;
-  Counter c(1);
-  c.began("a", Window(3));
-  c.began("a", Window(4));
-  for (TallyRow const& r : c.take(false).rows)
+  UsageTotals t;
+  UsageCounter c(1);
+  c.began("a", UsageWindow(3));
+  c.began("a", UsageWindow(4));
+  for (UsageRow const& r : c.take(false).rows)
     t.join(r);
-  t.forget(Window(4));
-  for (TallyRow const& r : c.take(true).rows)
+  t.forget(UsageWindow(4));
+  for (UsageRow const& r : c.take(true).rows)
     t.join(r);
-  cr_assert(t.sum(Window(3)).empty());
+  cr_assert(t.sum(UsageWindow(3)).empty());
   cr_assert_eq(t.first().v, 4u);
   cr_assert(c.take(false).rows.empty(), "said once");
 }
@@ -70,26 +70,26 @@
     double own_jump, mate_jump;
   };
   for (Case const c : {Case{"own forward", 4, 0}, Case{"own back", -4, 0}, Case{"a mate", 0, 5}, Case{"none", 0, 0}}) {
-    TrueClock k;
+    MedianClock k;
     for (int i = 0; i < 200; ++i) {
-      Secs const s = 10 + 0.1 * i;
+      Seconds const s = 10 + 0.1 * i;
       bool const jumped = i > 100;
       k.own(s, 1000 + s + 0.01 + (jumped ? c.own_jump : 0));
       if (i % 6 == 0) {
-        k.mate("a", s, 1000 + s - 0.01 + (jumped ? c.mate_jump : 0));
-        k.mate("b", s, 1000 + s + 0.02);
+        k.peer_reading("a", s, 1000 + s - 0.01 + (jumped ? c.mate_jump : 0));
+        k.peer_reading("b", s, 1000 + s + 0.02);
       }
       cr_assert_float_eq(k.at(s), 1000 + s, 0.05, "%s at %d", c.what, i);
     }
   }
   // Begun with a wrong time of day: the mates are many.
-  TrueClock k;
+  MedianClock k;
   k.own(10, 2000);
-  k.mate("a", 10, 1010);
-  k.mate("b", 10, 1010.02);
+  k.peer_reading("a", 10, 1010);
+  k.peer_reading("b", 10, 1010.02);
   cr_assert_float_eq(k.at(10), 1010, 0.05);
   // Alone, the time from before the jump stands.
-  TrueClock alone;
+  MedianClock alone;
   alone.own(1, 101);
   alone.own(2, 107);
   cr_assert_float_eq(alone.at(2), 102, 0.01);
