--- a/packages/leases/include/leases/platform_client.hpp
+++ b/packages/leases/include/leases/platform_client.hpp
@@ -1,40 +1,51 @@
-// One call at a time to the platform. A task that owns its socket.
+/// Calls the users' platform over HTTP, one call at a time.
+///
+/// Runs on the event loop's thread; the loop must outlive the client.
 #pragma once
 #include <event2/event.h>
-#include <event2/http.h>
 
 #include <functional>
+#include <memory>
+#include <string>
+#include <vector>
 
+#include "leases/platform_response.hpp"
 #include "settings/settings.hpp"
 
 namespace dockbend {
 
-// Invariants: at most one call is on its way; at its deadline, or when it is called
-// off, its connection is reset, so that no byte of it leaves later.
+/// Invariant: at most one call is in flight; at its deadline, or when it is cancelled, its connection is reset, so that
+/// no byte of it is sent later.
 class PlatformClient {
  public:
-  // code 0: no answer. retry_after < 0: not said.
-  using Done = std::function<void(int code, Seconds retry_after)>;
-  PlatformClient(event_base* loop, Address to) : loop_(loop), to_(std::move(to)) {}
-  ~PlatformClient() { reset(); }
+  struct Header {
+    std::string name, value;
+  };
+  using ResponseHandler = std::function<void(PlatformResponse const&)>;
+
+  PlatformClient(event_base* loop, Address platform);
+  ~PlatformClient();
   PlatformClient(PlatformClient const&) = delete;
+  PlatformClient& operator=(PlatformClient const&) = delete;
 
-  bool busy() const { return ec_ != nullptr; }
-  void post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
-            std::string const& body, Seconds within, Done done);
-  void reset();  // the call's Done is not called
+  bool is_busy() const { return call_ != nullptr; }
+  /// Posts a JSON body; a call that is still in flight is cancelled first.
+  /// @param deadline seconds for the whole call
+  /// @param on_response called once, unless the call is cancelled; it may start the next call
+  void post(std::string const& path, std::vector<Header> const& headers, std::string const& body, Seconds deadline,
+            ResponseHandler on_response);
+  /// Resets the connection of the call in flight, if any; its handler is not called.
+  void cancel();
 
  private:
-  void over(int code, Seconds retry_after);
+  /// One call with its connection and timer. libevent's callbacks get a pointer to it.
+  struct Call;
+  void start_deadline(Seconds deadline);
+  void finish(PlatformResponse const& response);
+
   event_base* loop_;
-  Address to_;
-  struct Tag {
-    PlatformClient* e = nullptr;  // null once the call is over
-  };
-  evhttp_connection* ec_ = nullptr;
-  Tag* tag_ = nullptr;
-  event* timer_ = nullptr;
-  Done done_;
+  Address platform_;
+  std::shared_ptr<Call> call_;
 };
 
 }  // namespace dockbend
--- a/packages/leases/include/leases/usage_reporter.hpp
+++ b/packages/leases/include/leases/usage_reporter.hpp
@@ -1,57 +1,70 @@
-// The usage duty: which window's report to fix, send or tick off next. No I/O.
+/// The usage role: which window's report to freeze, send or remove next.
+///
+/// It performs no I/O: the caller submits the changes to the consensus group and makes the calls.
 #pragma once
 #include <optional>
 
 #include "consensus/replicated_state.hpp"
+#include "leases/platform_response.hpp"
 #include "usage/usage_totals.hpp"
 
 namespace dockbend {
 
+/// Durations in seconds.
 struct UsageReportOptions {
-  double period = 5;     // reportPeriodS
-  Seconds settle = 1.5;  // after a window's end, if every proxy has gone on to the next
-  Seconds late = 6;      // else: those that are cut off may come back until then
-  Seconds call = 1.0;    // a call's whole deadline
-  Seconds gap = 0.05;    // least time between two calls
-  Seconds back_first = 0.4, back_most = 3.0, told_most = 300;
+  double report_period = 5;       // length of a window; setting reportPeriodS
+  Seconds settle_delay = 1.5;     // after a window's end, if every proxy has gone on to the next window
+  Seconds straggler_delay = 6;    // otherwise: proxies behind a partition may come back until then
+  Seconds call_timeout = 1.0;     // a call's whole deadline
+  Seconds min_call_gap = 0.05;    // between the starts of two calls, and after an accepted one
+  Seconds initial_backoff = 0.4;  // after the first failed call; doubles with each further one
+  Seconds max_backoff = 3.0;
+  Seconds max_retry_after = 300;  // a longer wait asked for by the platform is cut to this
 };
 
-// Invariants: a window is sent only after its body was fixed on a majority, and every
-// time with those bytes; windows are sent in their order, one call at a time; a window
-// is ticked off only after a 200 (or after the platform refused it for good).
+/// Invariants: a window is sent only after its body was frozen on a majority, and every time with those bytes; windows
+/// are sent in their order, one call at a time; a window's report is removed only after a 2xx (or after the platform
+/// rejected it for good).
 class UsageReporter {
  public:
-  explicit UsageReporter(UsageReportOptions p) : p_(p) {}
-
-  struct Send {
-    u64 window = 0;
-    std::string body;
-  };
-  // The body that should be fixed now. held_for: how long we have had the duty; who
-  // has just got it waits for the counts that others have yet to send it.
-  std::optional<FrozenUsageReport> to_fix(ReplicatedState const& s, UsageTotals const& t, WallSeconds true_now,
-                                          Seconds now, Seconds held_for);
-  // The register's change: fixes the body if its window is still the next, and ticks
-  // off what was acknowledged. True if it changed anything.
-  static bool fix(ReplicatedState& s, FrozenUsageReport const& f);
-  static bool tick_off(ReplicatedState& s, u64 window);
-
-  // What to send now, if a call may be sent at all.
-  std::optional<Send> to_send(ReplicatedState const& s, Seconds now);
-  void sent(Seconds now);
-  // code 0: no answer in time. retry_after < 0: not said.
-  void answered(u64 window, int code, Seconds retry_after, Seconds now);
-  void forget();  // the duty was lost: whatever hangs is for the next holder
-  bool calling() const { return calling_; }
-  std::optional<u64> acked() const { return acked_; }
-  Seconds call_s() const { return p_.call; }
+  explicit UsageReporter(UsageReportOptions options) : options_(options) {}
+
+  /// The report that should be frozen now, if any.
+  /// @param wall_time the median clock's
+  /// @param holder_for how long this node has held the role; a new holder first waits for the others' counts
+  std::optional<FrozenUsageReport> report_to_freeze(ReplicatedState const& state, UsageTotals const& totals,
+                                                    WallSeconds wall_time, Seconds now, Seconds holder_for);
+  /// Changes of the replicated state: freezes a report if its window is the next one; removes a report that the
+  /// platform acknowledged. True if anything changed.
+  static bool freeze(ReplicatedState& state, FrozenUsageReport const& report);
+  static bool tick_off(ReplicatedState& state, u64 window);
+
+  /// The frozen report to send now, if a call may be sent at all.
+  std::optional<FrozenUsageReport> report_to_send(ReplicatedState const& state, Seconds now);
+  /// A call was sent. Exactly one on_response() or on_role_lost() must follow.
+  void on_sent(Seconds now);
+  void on_response(u64 window, PlatformResponse const& response, Seconds now);
+  /// This node no longer holds the role: what is in flight is left to the next holder.
+  void on_role_lost();
+
+  bool is_calling() const { return is_calling_; }
+  /// The window that the platform acknowledged and whose report the replicated state may still have.
+  std::optional<u64> acknowledged_window() const { return acknowledged_window_; }
+  Seconds call_timeout() const { return options_.call_timeout; }
 
  private:
-  UsageReportOptions p_;
-  bool calling_ = false;
-  Seconds next_ = 0, asked_ = -1e9;
-  u32 fails_ = 0, refused_ = 0;
-  std::optional<u64> acked_;  // answered 200, not yet ticked off in the register
+  bool is_rejected_for_good(int status);
+  void back_off(PlatformResponse const& response, Seconds now);
+
+  static constexpr Seconds kLongAgo = -1e9;
+
+  UsageReportOptions options_;
+  bool is_calling_ = false;
+  Seconds next_call_at_ = 0;
+  Seconds freeze_proposed_at_ = kLongAgo;
+  u32 failed_calls_ = 0;    // in a row
+  u32 rejected_calls_ = 0;  // 4xx since the last acknowledged window
+  std::optional<u64> acknowledged_window_;
 };
 
 }  // namespace dockbend
--- a/packages/leases/lease_client.cpp
+++ b/packages/leases/lease_client.cpp
@@ -3,134 +3,162 @@
 #include <algorithm>
 
 namespace dockbend {
+namespace {
 
-LeaseClient::LeaseClient(std::string duty, std::string node, std::string ip, LeaseOptions p, Seconds now)
-    : duty_(std::move(duty)),
+Seconds constexpr kMaxJitter = 0.3;
+Seconds constexpr kMinHolderProposalInterval = 0.2;
+Seconds constexpr kMinCandidateProposalInterval = 0.3;
+double constexpr kMaxMarginShare = 0.2;  // of the lease's duration
+double constexpr kMinRenewalsPerLease = 3;
+
+bool is_older(Lease const& lease, Lease const& other) {
+  return lease.fence < other.fence || (lease.fence == other.fence && lease.counter < other.counter);
+}
+
+bool is_same(Lease const& lease, Lease const& other) {
+  return lease.fence == other.fence && lease.counter == other.counter && lease.next == other.next;
+}
+
+}  // namespace
+
+LeaseClient::LeaseClient(std::string role, std::string node, std::string ip, LeaseOptions options, Seconds now)
+    : role_(std::move(role)),
       node_(std::move(node)),
       ip_(std::move(ip)),
-      p_(p),
-      term_at_(now),
-      born_(now),
-      wait_(0.3 * random01()) {
-  p_.margin = std::min(p_.margin, 0.2 * p_.lease);
-  p_.renew = std::min(p_.renew, p_.lease / 3);
+      options_(options),
+      lease_changed_at_(now),
+      started_at_(now),
+      takeover_jitter_(kMaxJitter * random01()) {
+  options_.margin = std::min(options_.margin, kMaxMarginShare * options_.duration);
+  options_.renewal_interval = std::min(options_.renewal_interval, options_.duration / kMinRenewalsPerLease);
 }
 
-void LeaseClient::seen(Lease const* t, Seconds now) {
-  if (t == nullptr) return;
-  if (t->fence < term_.fence || (t->fence == term_.fence && t->counter < term_.counter)) return;  // old news
-  if (t->fence != term_.fence || t->counter != term_.counter || t->next != term_.next) {
-    term_ = *t;
-    term_at_ = now;
-    wait_ = 0.3 * random01();
+void LeaseClient::observe(Lease const* lease, Seconds now) {
+  if (lease == nullptr || is_older(*lease, newest_lease_)) return;
+  if (!is_same(*lease, newest_lease_)) {
+    newest_lease_ = *lease;
+    lease_changed_at_ = now;
+    takeover_jitter_ = kMaxJitter * random01();
   }
-  if (held_ && (term_.fence != fence_ || term_.holder != node_)) {
-    held_ = false;
-    handing_ = false;
-    left_ = now;
-  } else if (held_ && handing_ && !term_.next.empty()) {  // handed over, though the register's answer was lost
-    held_ = handing_ = false;
-    handed_ = true;
-    left_ = now;
+  if (!is_holder_) return;
+  if (newest_lease_.fence != fence_ || newest_lease_.holder != node_) {
+    stop_holding(now);
+  } else if (is_handing_over_ && !newest_lease_.next.empty()) {
+    // The hand-over was committed although its result never arrived.
+    stop_holding(now);
+    has_handed_over_ = true;
   }
 }
 
-LeaseClient::Action LeaseClient::step(Seconds now, bool fit) {
-  if (asking_) return Action::none;
-  if (held_) {
-    if (handing_) return handed_ || now - asked_ < 0.2 ? Action::none : Action::hand;
-    // Without a renewal for a whole term others may take over; it stays the holder
-    // of record until they do.
-    return now - renewed_ >= p_.renew && now - asked_ >= 0.2 ? Action::renew : Action::none;
-  }
-  if (!fit || now - asked_ < 0.3) return Action::none;
-  if (term_.fence == 0) return now - term_at_ >= wait_ ? Action::take : Action::none;
-  // Ours by record, but not by anything this life knows: it goes on under its fence.
-  if (term_.holder == node_ && term_.next.empty()) return Action::renew;
-  if (term_.next == node_ && free(now)) return Action::take;
-  if (free(now) && now - term_at_ >= still() + wait_) return Action::take;
-  return Action::none;
+LeaseClient::Action LeaseClient::next_action_as_holder(Seconds now) const {
+  bool const proposed_recently = now - proposed_at_ < kMinHolderProposalInterval;
+  if (is_handing_over_) return has_handed_over_ || proposed_recently ? Action::none : Action::hand_over;
+  // Without a renewal for a whole duration others may take the lease over; until they do, this node stays the holder
+  // of record and goes on renewing.
+  return now - renewed_at_ >= options_.renewal_interval && !proposed_recently ? Action::renew : Action::none;
+}
+
+LeaseClient::Action LeaseClient::next_action(Seconds now, bool is_eligible) const {
+  if (is_proposal_open_) return Action::none;
+  if (is_holder_) return next_action_as_holder(now);
+  if (!is_eligible || now - proposed_at_ < kMinCandidateProposalInterval) return Action::none;
+  Seconds const unchanged_for = now - lease_changed_at_;
+  if (newest_lease_.fence == 0) return unchanged_for >= takeover_jitter_ ? Action::acquire : Action::none;
+  // The holder of record is an earlier process of this node: it goes on under that fence.
+  if (newest_lease_.holder == node_ && newest_lease_.next.empty()) return Action::renew;
+  if (!could_act_at_once(now)) return Action::none;
+  bool const is_successor = newest_lease_.next == node_;
+  return is_successor || unchanged_for >= takeover_delay() + takeover_jitter_ ? Action::acquire : Action::none;
 }
 
-LeaseClient::Proposal LeaseClient::ask(Action m, Seconds now) {
-  asking_ = true;
-  asked_ = now;
-  Proposal a;
-  a.move = m;
-  a.fence = term_.fence;
-  a.counter = term_.counter;
-  a.at = now;
-  a.next = next_;
-  first_ = m == Action::take && term_.fence == 0;
-  return a;
+LeaseClient::Proposal LeaseClient::propose(Action action, Seconds now) {
+  is_proposal_open_ = true;
+  proposed_at_ = now;
+  is_first_acquisition_ = action == Action::acquire && newest_lease_.fence == 0;
+  Proposal proposal;
+  proposal.action = action;
+  proposal.fence = newest_lease_.fence;
+  proposal.counter = newest_lease_.counter;
+  proposal.proposed_at = now;
+  proposal.successor = successor_;
+  return proposal;
 }
 
-bool LeaseClient::apply(ReplicatedState& s, Proposal const& a) const {
-  Lease* t = nullptr;
-  for (Lease& x : s.duties)
-    if (x.duty == duty_) t = &x;
-  if (t == nullptr) {
-    if (a.move != Action::take || a.fence != 0) return false;
-    s.duties.emplace_back();
-    t = &s.duties.back();
-    t->duty = duty_;
+bool LeaseClient::apply(ReplicatedState& state, Proposal const& proposal) const {
+  auto lease =
+      std::find_if(state.duties.begin(), state.duties.end(), [&](Lease const& row) { return row.duty == role_; });
+  if (lease == state.duties.end()) {
+    if (proposal.action != Action::acquire || proposal.fence != 0) return false;
+    lease = state.duties.emplace(state.duties.end());
+    lease->duty = role_;
   }
-  if (t->fence != a.fence || t->counter != a.counter) return false;
-  switch (a.move) {
-    case Action::take:
-      t->holder = node_;
-      t->ip = ip_;
-      t->next.clear();
-      ++t->fence;
-      t->counter = 0;
+  if (lease->fence != proposal.fence || lease->counter != proposal.counter) return false;
+  switch (proposal.action) {
+    case Action::acquire:
+      lease->holder = node_;
+      lease->ip = ip_;
+      lease->next.clear();
+      ++lease->fence;
+      lease->counter = 0;
       return true;
     case Action::renew:
-    case Action::hand:
-      if (t->holder != node_ || !t->next.empty()) return false;
-      ++t->counter;
-      if (a.move == Action::hand) t->next = a.next;
+    case Action::hand_over:
+      if (lease->holder != node_ || !lease->next.empty()) return false;
+      ++lease->counter;
+      if (proposal.action == Action::hand_over) lease->next = proposal.successor;
       return true;
     case Action::none: break;
   }
   return false;
 }
 
-void LeaseClient::answered(Proposal const& a, bool stood, Seconds now) {
-  asking_ = false;
-  if (!stood) return;
-  switch (a.move) {
-    case Action::take:
-    case Action::renew:
-      if (!held_) {
-        held_ = true;
-        handing_ = handed_ = false;
-        held_since_ = now;
-        fence_ = a.move == Action::take ? a.fence + 1 : a.fence;
-      }
-      renewed_ = a.at;
-      until_ = a.at + p_.lease - p_.margin;
-      break;
-    case Action::hand:
-      handed_ = true;
-      held_ = handing_ = false;
-      left_ = now;
+void LeaseClient::on_result(Proposal const& proposal, bool is_committed, Seconds now) {
+  is_proposal_open_ = false;
+  if (!is_committed) return;
+  switch (proposal.action) {
+    case Action::acquire:
+    case Action::renew: on_held(proposal, now); break;
+    case Action::hand_over:
+      stop_holding(now);
+      has_handed_over_ = true;
       break;
     case Action::none: break;
   }
 }
 
-bool LeaseClient::hand_over(std::string const& next) {
-  if (!held_ || handing_) return false;
-  handing_ = true;
-  next_ = next;
+void LeaseClient::on_held(Proposal const& proposal, Seconds now) {
+  if (!is_holder_) {
+    is_holder_ = true;
+    is_handing_over_ = has_handed_over_ = false;
+    holder_since_ = now;
+    fence_ = proposal.action == Action::acquire ? proposal.fence + 1 : proposal.fence;
+  }
+  renewed_at_ = proposal.proposed_at;
+  may_act_until_ = proposal.proposed_at + options_.duration - options_.margin;
+}
+
+void LeaseClient::stop_holding(Seconds now) {
+  is_holder_ = is_handing_over_ = false;
+  lost_lease_at_ = now;
+}
+
+bool LeaseClient::hand_over(std::string const& successor) {
+  if (!is_holder_ || is_handing_over_) return false;
+  is_handing_over_ = true;
+  successor_ = successor;
   return true;
 }
 
-bool LeaseClient::may_act(Seconds now, Seconds need) const {
-  if (!held_ || handing_ || now + need > until_) return false;
-  // A former life, or a former term of this one, may have acted a moment ago.
-  bool const fresh = fence_ == 1 && first_;
-  return fresh || free(now);
+bool LeaseClient::could_act_at_once(Seconds now) const {
+  return now - lost_lease_at_ >= takeover_delay() && now - started_at_ >= takeover_delay();
+}
+
+bool LeaseClient::may_act(Seconds now, Seconds call_duration) const {
+  if (!is_holder_ || is_handing_over_ || now + call_duration > may_act_until_) return false;
+  // An earlier process of this node, or an earlier lease of this one, may have acted a moment ago, unless nobody ever
+  // held the lease before.
+  bool const is_first_lease = fence_ == 1 && is_first_acquisition_;
+  return is_first_lease || could_act_at_once(now);
 }
 
 }  // namespace dockbend
--- a/packages/leases/platform_client.cpp
+++ b/packages/leases/platform_client.cpp
@@ -2,84 +2,124 @@
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
+#include <event2/http.h>
 #include <event2/keyvalq_struct.h>
 #include <sys/socket.h>
 
 #include <cstdlib>
+#include <utility>
 
 #include "transport/transport.hpp"
 
 namespace dockbend {
+namespace {
 
-void PlatformClient::post(std::string const& path, std::vector<std::pair<std::string, std::string>> const& heads,
-                          std::string const& body, Seconds within, Done done) {
-  reset();
-  done_ = std::move(done);
-  bufferevent* bev = bufferevent_socket_new(loop_, -1, BEV_OPT_DEFER_CALLBACKS);
-  ec_ = evhttp_connection_base_bufferevent_new(loop_, nullptr, bev, to_.ip.c_str(), static_cast<ev_uint16_t>(to_.port));
-  tag_ = new Tag{this};
-  evhttp_request* r = evhttp_request_new(
-      [](evhttp_request* q, void* p) {
-        PlatformClient* const e = static_cast<Tag*>(p)->e;
-        if (e == nullptr) return;
-        int const code = q == nullptr ? 0 : evhttp_request_get_response_code(q);
-        Seconds wait = -1;
-        if (code != 0)
-          if (char const* ra = evhttp_find_header(evhttp_request_get_input_headers(q), "Retry-After"); ra != nullptr)
-            wait = std::strtod(ra, nullptr);
-        e->over(code, wait);
-      },
-      tag_);
-  evkeyvalq* out = evhttp_request_get_output_headers(r);
-  evhttp_add_header(out, "Host", to_.str().c_str());
-  evhttp_add_header(out, "Content-Type", "application/json");
-  evhttp_add_header(out, "Connection", "close");
-  for (auto const& [k, v] : heads)
-    evhttp_add_header(out, k.c_str(), v.c_str());
-  evbuffer_add(evhttp_request_get_output_buffer(r), body.data(), body.size());
-  timer_ = evtimer_new(
-      loop_, [](evutil_socket_t, short, void* p) { static_cast<PlatformClient*>(p)->over(0, -1); }, this);
-  timeval const tv{static_cast<time_t>(within),
-                   static_cast<suseconds_t>((within - static_cast<double>(static_cast<time_t>(within))) * 1e6)};
-  evtimer_add(timer_, &tv);
-  if (evhttp_make_request(ec_, r, EVHTTP_REQ_POST, path.c_str()) != 0) {
-    after(loop_, 0, [this, ec = ec_] {
-      if (ec_ == ec) over(0, -1);
-    });
-    return;
+struct FreeConnection {
+  void operator()(evhttp_connection* connection) const { evhttp_connection_free(connection); }
+};
+struct FreeEvent {
+  void operator()(event* timer) const { event_free(timer); }
+};
+
+timeval timeval_of(Seconds duration) {
+  auto const whole_seconds = static_cast<time_t>(duration);
+  return {whole_seconds, static_cast<suseconds_t>((duration - static_cast<double>(whole_seconds)) * 1e6)};
+}
+
+/// What a finished request brought; request is nullptr if there was no answer.
+PlatformResponse response_of(evhttp_request* request) {
+  PlatformResponse response;
+  response.status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
+  if (response.status == 0) return response;
+  char const* const retry_after = evhttp_find_header(evhttp_request_get_input_headers(request), "Retry-After");
+  if (retry_after != nullptr) response.retry_after = std::strtod(retry_after, nullptr);
+  return response;
+}
+
+/// Makes the close of this connection a reset: what is still buffered is not sent.
+void reset_on_close(evhttp_connection* connection) {
+  bufferevent* const buffered = evhttp_connection_get_bufferevent(connection);
+  bufferevent_disable(buffered, EV_READ | EV_WRITE);
+  if (evutil_socket_t const socket = bufferevent_getfd(buffered); socket >= 0) {
+    linger const without_delay{1, 0};
+    setsockopt(socket, SOL_SOCKET, SO_LINGER, &without_delay, sizeof without_delay);
   }
-  tune_socket(bufferevent_getfd(bev), static_cast<int>(within * 1000));
 }
 
-void PlatformClient::over(int code, Seconds retry_after) {
-  Done d;
-  d.swap(done_);
-  // libevent may still be inside this connection's callback.
-  evhttp_connection* const ec = ec_;
-  Tag* const tag = tag_;
-  ec_ = nullptr;
-  tag_ = nullptr;
-  if (timer_ != nullptr) event_free(timer_);
-  timer_ = nullptr;
-  if (ec != nullptr) {
-    tag->e = nullptr;
-    bufferevent* const bev = evhttp_connection_get_bufferevent(ec);
-    bufferevent_disable(bev, EV_READ | EV_WRITE);
-    if (evutil_socket_t const fd = bufferevent_getfd(bev); fd >= 0) {
-      linger const hard{1, 0};
-      setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-    }
-    after(loop_, 0, [ec, tag] {
-      evhttp_connection_free(ec);
-      delete tag;
+}  // namespace
+
+struct PlatformClient::Call {
+  PlatformClient* owner = nullptr;  // nullptr once the call is over: late callbacks do nothing
+  ResponseHandler on_response;
+  std::unique_ptr<event, FreeEvent> deadline_timer;
+  std::unique_ptr<evhttp_connection, FreeConnection> connection;  // freed first: that may call back with this Call
+
+  void finish(PlatformResponse const& response) const {
+    if (owner != nullptr) owner->finish(response);
+  }
+};
+
+PlatformClient::PlatformClient(event_base* loop, Address platform) : loop_(loop), platform_(std::move(platform)) {}
+
+PlatformClient::~PlatformClient() {
+  cancel();
+}
+
+void PlatformClient::post(std::string const& path, std::vector<Header> const& headers, std::string const& body,
+                          Seconds deadline, ResponseHandler on_response) {
+  cancel();
+  bufferevent* const buffered = bufferevent_socket_new(loop_, -1, BEV_OPT_DEFER_CALLBACKS);
+  call_ = std::make_shared<Call>();
+  call_->owner = this;
+  call_->on_response = std::move(on_response);
+  call_->connection.reset(evhttp_connection_base_bufferevent_new(loop_, nullptr, buffered, platform_.ip.c_str(),
+                                                                 static_cast<ev_uint16_t>(platform_.port)));
+  evhttp_request* const request = evhttp_request_new(
+      [](evhttp_request* answered, void* call) { static_cast<Call*>(call)->finish(response_of(answered)); },
+      call_.get());
+  evkeyvalq* const request_headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(request_headers, "Host", platform_.str().c_str());
+  evhttp_add_header(request_headers, "Content-Type", "application/json");
+  evhttp_add_header(request_headers, "Connection", "close");
+  for (Header const& header : headers)
+    evhttp_add_header(request_headers, header.name.c_str(), header.value.c_str());
+  evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
+  start_deadline(deadline);
+  if (evhttp_make_request(call_->connection.get(), request, EVHTTP_REQ_POST, path.c_str()) != 0) {
+    // Not from within post(): the caller may not be ready for it.
+    after(loop_, 0, [failed = std::weak_ptr<Call>(call_)] {
+      if (auto const call = failed.lock()) call->finish({});
     });
+    return;
   }
-  if (d) d(code, retry_after);
+  tune_socket(bufferevent_getfd(buffered), static_cast<int>(deadline * 1000));
+}
+
+void PlatformClient::start_deadline(Seconds deadline) {
+  call_->deadline_timer.reset(evtimer_new(
+      loop_, [](evutil_socket_t, short, void* call) { static_cast<Call*>(call)->finish({}); }, call_.get()));
+  timeval const timeout = timeval_of(deadline);
+  evtimer_add(call_->deadline_timer.get(), &timeout);
+}
+
+void PlatformClient::finish(PlatformResponse const& response) {
+  std::shared_ptr<Call> const call = std::move(call_);
+  call_ = nullptr;
+  call->owner = nullptr;
+  call->deadline_timer.reset();
+  reset_on_close(call->connection.get());
+  // libevent may still be inside this connection's callback: the reference held here lets the connection live until
+  // the loop's next turn, which drops it.
+  after(loop_, 0, [call] {});
+  // Taken out, so that the handler and what it holds end here and not with the connection.
+  ResponseHandler const on_response = std::exchange(call->on_response, nullptr);
+  if (on_response) on_response(response);
 }
 
-void PlatformClient::reset() {
-  done_ = nullptr;
-  if (ec_ != nullptr) over(0, -1);
+void PlatformClient::cancel() {
+  if (call_ == nullptr) return;
+  call_->on_response = nullptr;
+  finish({});
 }
 
 }  // namespace dockbend
--- a/packages/rollout/include/rollout/rollout.hpp
+++ b/packages/rollout/include/rollout/rollout.hpp
@@ -1,110 +1,82 @@
-// Brings one manifest change to the nodes in stages: they hold it first, and it
-// is committed only once every stage has settled. No I/O.
+/// The leader's side of a rollout: one configuration change is brought to the proxies in stages. They only check and
+/// keep it (`StagedChanges`); it is committed once every stage is complete. No I/O.
 #pragma once
 #include <map>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "configuration/configuration.hpp"
+#include "rollout/rollout_phase.hpp"
 #include "settings/settings.hpp"
 
 namespace dockbend {
 
-enum class RolloutPhase : u8 {
-  holding = 1,     // a stage is being brought out
-  paused = 2,      // too few of the stage answered so far; goes on by itself
-  stopped = 3,     // the operator said pause
-  committing = 4,  // every stage settled: the register decides
-  done = 5,
-  fell_back = 6,  // its time was up before every stage settled
-  aborted = 7,    // the operator said abort
-  overtaken = 8,  // higher versions stand: nothing is left to bring
-};
-char const* phase_str(RolloutPhase p);
-bool is_over(RolloutPhase p);
-
-enum class RolloutCommand : u8 { pause = 1, resume = 2, abort = 3 };
+/// Zone by proxy address: the proxies that serve requests and are heard from.
+using ReachableProxies = std::map<std::string, std::string>;
 
-// Invariants: the commit is asked for exactly once, and only after every stage
-// settled; nothing is withdrawn after it was asked for; before it, the end of a
-// rollout drops what is held and changes nothing of how errands are handled.
+/// One rollout, at the controller that leads it.
+///
+/// Invariants: the commit is asked for exactly once, and only after every stage was complete; nothing is withdrawn
+/// after it was asked for; before that, the end of a rollout withdraws what is staged and changes nothing of how
+/// requests are handled.
 class Rollout {
  public:
-  Rollout(u64 id, RolloutOptions const& plan, Seconds now);
+  Rollout(u64 id, RolloutOptions const& options, Seconds now);
 
+  /// What the caller has to do now.
   struct Actions {
-    std::vector<std::string> send;  // sites that shall hold it (again)
-    bool commit = false;            // ask the register now
-    bool drop = false;              // tell every site that was asked to drop it
+    std::vector<std::string> stage_on;  // proxies to send the change to, the first time or again
+    bool commit = false;                // propose the change to the consensus group
+    bool withdraw = false;              // have every proxy in asked_proxies() drop the change
   };
-  // in_touch: site -> zone of the nodes that carry lanes and are heard from. Only
-  // they count, so dead, frozen and cut-off nodes hold nothing up for long.
-  Actions step(Seconds now, std::map<std::string, std::string> const& in_touch);
-  void heard(std::string const& site, bool holds);
-  void lost(std::string const& site);  // its life ended: what it held is gone
+  /// Goes on with the rollout. Only reachable proxies count, so none that is dead, frozen or behind a partition holds
+  /// it up for long.
+  Actions advance(Seconds now, ReachableProxies const& reachable);
+  /// @param is_staged the proxy keeps the change; false: it refused it
+  void on_stage_response(std::string const& proxy, bool is_staged);
+  /// The proxy's process ended, and with it what it had staged.
+  void on_proxy_lost(std::string const& proxy);
+
+  /// An operator's order: true if it applies now, or did before and is repeated.
+  bool apply_command(RolloutCommand command, Seconds now);
+  /// Each returns false if the phase does not allow it.
   bool pause();
   bool resume(Seconds now);
   bool abort();
-  // An operator's order: true if it is taken now, or was before and is sent again.
-  bool heed(RolloutCommand o, Seconds now);
-  void overtaken();
-  void committed(bool stands);  // what the register said
+  /// Higher versions of all its items were committed by others.
+  void on_overtaken();
+  /// The consensus group's decision on the commit.
+  void on_commit_result(bool is_committed);
 
   u64 id() const { return id_; }
   RolloutPhase phase() const { return phase_; }
+  /// Index of the stage in progress.
   std::size_t stage() const { return stage_; }
-  std::size_t stages() const { return plan_.stages.size(); }
-  std::size_t wanted() const { return wanted_; }  // of the stage at hand
-  std::size_t holding() const { return holding_; }
-  std::set<std::string> const& asked() const { return asked_; }
-  Seconds until() const { return until_; }
+  std::size_t stage_count() const { return options_.stages.size(); }
+  /// How many proxies of the stage in progress must have the change staged, and how many have.
+  std::size_t required_proxies() const { return required_proxies_; }
+  std::size_t staged_proxies() const { return staged_proxies_; }
+  /// Every proxy that the change was ever sent to.
+  std::set<std::string> const& asked_proxies() const { return asked_; }
+  /// When it falls back unless every stage is complete.
+  Seconds falls_back_at() const { return falls_back_at_; }
 
  private:
+  void stage_on_first(std::size_t proxies, std::vector<std::string> const& order, Seconds now, Actions& actions);
+  bool complete_stage(Seconds now, Actions& actions);
+
   u64 id_;
-  RolloutOptions plan_;
+  RolloutOptions options_;
   RolloutPhase phase_ = RolloutPhase::holding;
-  std::size_t stage_ = 0, wanted_ = 0, holding_ = 0;
-  Seconds since_, until_;
-  bool drop_due_ = false;
-  std::set<RolloutCommand> heeded_;
-  std::set<std::string> asked_, held_, refused_;
-  std::map<std::string, Seconds> sent_;
-};
-
-// A node's side: what it holds, and until when. Invariant: without a word from the
-// one who leads, nothing is held past its time, so a dead leader leaves nothing.
-class StagedChanges {
- public:
-  void hold(u64 id, Seconds until) { m_[id] = until; }
-  void drop(u64 id) { m_.erase(id); }
-  bool holds(u64 id) const { return m_.count(id) > 0; }
-  void expire(Seconds now) {
-    std::erase_if(m_, [now](auto const& x) { return x.second < now; });
-  }
-
- private:
-  std::map<u64, Seconds> m_;
+  std::size_t stage_ = 0, required_proxies_ = 0, staged_proxies_ = 0;
+  Seconds stage_started_at_, falls_back_at_;
+  bool is_withdrawal_due_ = false;
+  std::set<RolloutCommand> applied_commands_;
+  std::set<std::string> asked_, staged_, refused_;  // proxies
+  std::map<std::string, Seconds> sent_at_;          // by proxy
 };
 
-// An order of the sites in which every prefix is spread over the zones.
-std::vector<std::string> spread_order(std::map<std::string, std::string> const& site_zone);
-
-// Wire messages.
-struct StageRequest {
-  DB_RECORD(StageRequest, (u64, id), (bool, drop), (u32, for_ms), (std::vector<ConfigItem>, items));
-};
-// To the directory that the named sites registered with: it passes the change on.
-struct StageForwardRequest {
-  DB_RECORD(StageForwardRequest, (std::vector<std::string>, sites), (std::string, hold));
-};
-struct StageResponse {
-  DB_RECORD(StageResponse, (u64, id), (bool, holds), (std::string, front));
-};
-// What mates tell each other of their rollouts.
-struct RolloutStatusNotice {
-  DB_RECORD(RolloutStatusNotice, (u64, id), (std::string, at), (RolloutPhase, phase), (u32, stage), (u32, stages),
-            (u32, wanted), (u32, holding), (std::vector<std::string>, items), (double, age));
-};
+/// An order of the proxies in which every prefix is spread over the zones.
+std::vector<std::string> order_across_zones(ReachableProxies const& proxies);
 
 }  // namespace dockbend
--- a/packages/rollout/rollout.cpp
+++ b/packages/rollout/rollout.cpp
@@ -4,93 +4,97 @@
 #include <cmath>
 
 namespace dockbend {
+namespace {
 
-char const* phase_str(RolloutPhase p) {
-  switch (p) {
-    case RolloutPhase::holding: return "holding";
-    case RolloutPhase::paused: return "paused";
-    case RolloutPhase::stopped: return "stopped";
-    case RolloutPhase::committing: return "committing";
-    case RolloutPhase::done: return "done";
-    case RolloutPhase::fell_back: return "fell back";
-    case RolloutPhase::aborted: return "aborted";
-    case RolloutPhase::overtaken: return "overtaken";
-  }
-  return "unknown";
-}
-
-bool is_over(RolloutPhase p) {
-  return p >= RolloutPhase::done;
+/// That share of so many, rounded up; an error of the multiplication does not add one.
+std::size_t share_of(double share, std::size_t count) {
+  double constexpr kRoundingError = 1e-9;
+  return static_cast<std::size_t>(std::ceil(share * static_cast<double>(count) - kRoundingError));
 }
 
-Rollout::Rollout(u64 id, RolloutOptions const& plan, Seconds now)
-    : id_(id), plan_(plan), since_(now), until_(now + plan.giveUpS) {}
+}  // namespace
 
-std::vector<std::string> spread_order(std::map<std::string, std::string> const& site_zone) {
+std::vector<std::string> order_across_zones(ReachableProxies const& proxies) {
   std::map<std::string, std::vector<std::string>> by_zone;
-  for (auto const& [s, z] : site_zone)
-    by_zone[z].push_back(s);
-  std::vector<std::string> out;
-  for (std::size_t i = 0; out.size() < site_zone.size(); ++i)
-    for (auto const& [z, v] : by_zone)
-      if (i < v.size()) out.push_back(v[i]);
-  return out;
+  for (auto const& [proxy, zone] : proxies)
+    by_zone[zone].push_back(proxy);
+  std::vector<std::string> order;
+  for (std::size_t i = 0; order.size() < proxies.size(); ++i)
+    for (auto const& [zone, in_zone] : by_zone)
+      if (i < in_zone.size()) order.push_back(in_zone[i]);
+  return order;
 }
 
-Rollout::Actions Rollout::step(Seconds now, std::map<std::string, std::string> const& in_touch) {
-  Actions st;
-  if (drop_due_) {
-    drop_due_ = false;
-    st.drop = true;
-  }
-  if (is_over(phase_) || phase_ == RolloutPhase::committing) return st;
-  if (now >= until_) {
+Rollout::Rollout(u64 id, RolloutOptions const& options, Seconds now)
+    : id_(id), options_(options), stage_started_at_(now), falls_back_at_(now + options.giveUpS) {}
+
+Rollout::Actions Rollout::advance(Seconds now, ReachableProxies const& reachable) {
+  Actions actions;
+  actions.withdraw = is_withdrawal_due_;
+  is_withdrawal_due_ = false;
+  if (is_over(phase_) || phase_ == RolloutPhase::committing) return actions;
+  if (now >= falls_back_at_) {
     phase_ = RolloutPhase::fell_back;
-    st.drop = true;
-    return st;
+    actions.withdraw = true;
+    return actions;
   }
-  std::vector<std::string> const order = spread_order(in_touch);
-  for (;;) {
-    std::size_t const n =
-        static_cast<std::size_t>(std::ceil(plan_.stages[stage_] * static_cast<double>(order.size()) - 1e-9));
-    holding_ = 0;
-    for (std::size_t i = 0; i < n; ++i) {
-      if (held_.count(order[i]) > 0) {
-        ++holding_;
-        continue;
-      }
-      auto const it = sent_.find(order[i]);
-      if (refused_.count(order[i]) > 0 || (it != sent_.end() && now - it->second < plan_.resendS)) continue;
-      sent_[order[i]] = now;
-      asked_.insert(order[i]);
-      st.send.push_back(order[i]);
-    }
-    wanted_ = static_cast<std::size_t>(std::ceil(plan_.enough * static_cast<double>(n) - 1e-9));
-    if (phase_ == RolloutPhase::stopped) return st;
-    if (holding_ < wanted_) {
-      phase_ = now - since_ > plan_.stageS ? RolloutPhase::paused : RolloutPhase::holding;
-      return st;
-    }
-    if (stage_ + 1 == plan_.stages.size()) {
-      phase_ = RolloutPhase::committing;
-      st.commit = true;
-      return st;
+  std::vector<std::string> const order = order_across_zones(reachable);
+  bool is_stage_complete = true;
+  while (is_stage_complete) {
+    std::size_t const in_stage = share_of(options_.stages[stage_], order.size());
+    required_proxies_ = share_of(options_.enough, in_stage);
+    stage_on_first(in_stage, order, now, actions);
+    is_stage_complete = complete_stage(now, actions);
+  }
+  return actions;
+}
+
+/// Sends the change to those of the first `proxies` that neither have it staged nor refused it nor were asked lately.
+void Rollout::stage_on_first(std::size_t proxies, std::vector<std::string> const& order, Seconds now,
+                             Actions& actions) {
+  staged_proxies_ = 0;
+  for (std::size_t i = 0; i < proxies; ++i) {
+    std::string const& proxy = order[i];
+    if (staged_.count(proxy) > 0) {
+      ++staged_proxies_;
+      continue;
     }
-    ++stage_;
-    since_ = now;
-    phase_ = RolloutPhase::holding;
+    auto const sent_at = sent_at_.find(proxy);
+    bool const was_sent_lately = sent_at != sent_at_.end() && now - sent_at->second < options_.resendS;
+    if (refused_.count(proxy) > 0 || was_sent_lately) continue;
+    sent_at_[proxy] = now;
+    asked_.insert(proxy);
+    actions.stage_on.push_back(proxy);
+  }
+}
+
+/// Judges the stage in progress. True if the next one has begun.
+bool Rollout::complete_stage(Seconds now, Actions& actions) {
+  if (phase_ == RolloutPhase::stopped) return false;
+  if (staged_proxies_ < required_proxies_) {
+    phase_ = now - stage_started_at_ > options_.stageS ? RolloutPhase::paused : RolloutPhase::holding;
+    return false;
+  }
+  if (stage_ + 1 == options_.stages.size()) {
+    phase_ = RolloutPhase::committing;
+    actions.commit = true;
+    return false;
   }
+  ++stage_;
+  stage_started_at_ = now;
+  phase_ = RolloutPhase::holding;
+  return true;
 }
 
-void Rollout::heard(std::string const& site, bool holds) {
-  if (asked_.count(site) == 0) return;
-  (holds ? held_ : refused_).insert(site);
+void Rollout::on_stage_response(std::string const& proxy, bool is_staged) {
+  if (asked_.count(proxy) == 0) return;
+  (is_staged ? staged_ : refused_).insert(proxy);
 }
 
-void Rollout::lost(std::string const& site) {
-  held_.erase(site);
-  refused_.erase(site);
-  sent_.erase(site);
+void Rollout::on_proxy_lost(std::string const& proxy) {
+  staged_.erase(proxy);
+  refused_.erase(proxy);
+  sent_at_.erase(proxy);
 }
 
 bool Rollout::pause() {
@@ -102,33 +106,35 @@
 bool Rollout::resume(Seconds now) {
   if (phase_ != RolloutPhase::stopped) return false;
   phase_ = RolloutPhase::holding;
-  since_ = now;
+  stage_started_at_ = now;
   return true;
 }
 
 bool Rollout::abort() {
   if (is_over(phase_) || phase_ == RolloutPhase::committing) return false;
   phase_ = RolloutPhase::aborted;
-  drop_due_ = true;
+  is_withdrawal_due_ = true;
   return true;
 }
 
-bool Rollout::heed(RolloutCommand o, Seconds now) {
-  bool const ok = o == RolloutCommand::pause ? pause() : o == RolloutCommand::resume ? resume(now) : abort();
-  if (ok) heeded_.insert(o);
-  return ok || heeded_.count(o) > 0;
+bool Rollout::apply_command(RolloutCommand command, Seconds now) {
+  bool const is_applied = command == RolloutCommand::pause    ? pause()
+                          : command == RolloutCommand::resume ? resume(now)
+                                                              : abort();
+  if (is_applied) applied_commands_.insert(command);
+  return applied_commands_.count(command) > 0;
 }
 
-void Rollout::overtaken() {
+void Rollout::on_overtaken() {
   if (is_over(phase_) || phase_ == RolloutPhase::committing) return;
   phase_ = RolloutPhase::overtaken;
-  drop_due_ = true;
+  is_withdrawal_due_ = true;
 }
 
-void Rollout::committed(bool stands) {
+void Rollout::on_commit_result(bool is_committed) {
   if (phase_ != RolloutPhase::committing) return;
-  phase_ = stands ? RolloutPhase::done : RolloutPhase::fell_back;
-  drop_due_ = !stands;
+  phase_ = is_committed ? RolloutPhase::done : RolloutPhase::fell_back;
+  is_withdrawal_due_ = !is_committed;
 }
 
 }  // namespace dockbend
--- a/packages/usage/include/usage/median_clock.hpp
+++ b/packages/usage/include/usage/median_clock.hpp
@@ -1,4 +1,4 @@
-// True time, from the machine's time of day, its steady clock and its mates. No I/O.
+/// Wall-clock time that does not follow a jump of one machine's clock. No I/O.
 #pragma once
 #include <map>
 #include <string>
@@ -9,30 +9,34 @@
 
 using WallSeconds = double;  // seconds since the start of 1970
 
-// Invariants: what is said never follows a jump of one machine's time of day, its
-// own or another's: it is the steady clock plus the median of the offsets that this
-// machine and its mates name. A jump of our own is seen against the steady clock and
-// not followed while mates are heard; alone, the offset from before the jump stands.
+/// The steady clock plus the median of the wall-clock offsets of this machine and its peers.
+///
+/// Invariant: the result follows no jump of a single machine's wall clock, be it this machine's or a peer's. A jump of
+/// our own is detected against the steady clock and not followed while peers are heard; without peers the offset from
+/// before the jump stays in force.
 class MedianClock {
  public:
-  // A reading of both clocks of this machine, taken together.
-  void own(Seconds steady, WallSeconds wall);
-  // A mate said its time of day; `steady` is ours at the middle of the exchange.
-  void peer_reading(std::string const& who, Seconds steady, WallSeconds said);
-  void forget(std::string const& who) { controllers_.erase(who); }
-  bool known() const { return has_own_ || !controllers_.empty(); }
-  WallSeconds at(Seconds steady) const { return steady + offset(); }
+  /// Both clocks of this machine, read together.
+  void on_own_reading(Seconds steady, WallSeconds wall);
+  /// A peer sent its wall-clock time.
+  /// @param steady our steady clock at the middle of the exchange
+  void on_peer_reading(std::string const& peer, Seconds steady, WallSeconds wall);
+  /// False until the first reading; wall_time_at() means nothing before.
+  bool is_known() const { return has_own_offset_ || !peers_.empty(); }
+  WallSeconds wall_time_at(Seconds steady) const { return steady + offset(); }
 
  private:
-  double offset() const;
-  struct Said {
-    double offset = 0;
-    Seconds at = 0;
+  struct PeerReading {
+    double offset = 0;  // wall minus steady clock, in seconds
+    Seconds taken_at = 0;
   };
-  bool has_own_ = false;
-  double own_ = 0;  // before any jump seen in this life
-  Seconds last_ = 0;
-  std::map<std::string, Said> controllers_;
+
+  double offset() const;
+
+  bool has_own_offset_ = false;
+  double own_offset_ = 0;  // before any jump detected in this process
+  Seconds newest_reading_at_ = 0;
+  std::map<std::string, PeerReading> peers_;
 };
 
 }  // namespace dockbend
--- a/packages/usage/include/usage/usage_totals.hpp
+++ b/packages/usage/include/usage/usage_totals.hpp
@@ -1,9 +1,10 @@
-// Counts of errands by tenant and window, joined over all proxies. No I/O.
+/// Requests counted by tenant and window, merged over all proxies. No I/O.
 #pragma once
 #include <map>
 #include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "base/record.hpp"
@@ -12,10 +13,15 @@
 
 namespace dockbend {
 
+/// Number of a reporting window: windows of one period follow each other from the start of 1970.
 using UsageWindow = Strong<u64, struct UsageWindowTag>;
-UsageWindow window_of(WallSeconds t, double period_s);
+/// The window of that time; 0 if the time or the period (in seconds) is not above 0.
+UsageWindow usage_window_at(WallSeconds time, double period);
 
-// Running totals of one proxy's life in one window.
+/// Requests by tenant.
+using TenantCounts = std::map<std::string, u64>;
+
+/// What one proxy process has counted in one window so far: tenants[i] has counts[i].
 struct UsageRow {
   DB_RECORD(UsageRow, (u64, incarnation), (UsageWindow, window), (std::vector<std::string>, tenants),
             (std::vector<u64>, counts));
@@ -24,47 +30,49 @@
   DB_RECORD(UsageUpdate, (std::vector<UsageRow>, rows));
 };
 
-// A proxy's side. Invariant: a count never falls, so that whoever joins by maximum
-// has each errand once.
+/// Which rows an update carries: those that changed since the update before, or all.
+enum class UsageRows { changed, all };
+
+/// A proxy's counts. Invariant: a count never falls, so that merging by maximum counts each request once.
 class UsageCounter {
  public:
   explicit UsageCounter(u64 incarnation) : incarnation_(incarnation) {}
-  void began(std::string const& tenant, UsageWindow w);
-  // Rows that changed since they were last taken; all of them if `all`.
-  UsageUpdate take(bool all);
-  void forget(UsageWindow before);
-  u64 count(std::string const& tenant, UsageWindow w) const;
+  void count_request(std::string const& tenant, UsageWindow window);
+  /// The rows to send now; they no longer count as changed.
+  UsageUpdate take_update(UsageRows which);
+  void forget_before(UsageWindow window);
+  u64 count(std::string const& tenant, UsageWindow window) const;
 
  private:
   u64 incarnation_;
-  std::map<UsageWindow, std::map<std::string, u64>> m_;
-  std::set<UsageWindow> dirty_;
+  std::map<UsageWindow, TenantCounts> counts_;
+  std::set<UsageWindow> changed_;
 };
 
-// The joined totals. Invariants: for one (life, window, tenant) the maximum of all
-// that was said holds, so rows may come late, twice and in any order; nothing is kept
-// of windows before the floor.
+/// Counts merged over all proxies. Invariants: for one (incarnation, window, tenant) the maximum of all that was
+/// received counts, so rows may come late, twice and in any order; nothing is kept of windows before the floor.
 class UsageTotals {
  public:
-  // True if the row brought news.
-  bool join(UsageRow const& r);
-  std::map<std::string, u64> sum(UsageWindow w) const;
-  // Has every proxy that counted in w, or just before it, gone on to a later window?
-  bool complete(UsageWindow w) const;
-  UsageWindow first() const { return m_.empty() ? UsageWindow() : m_.begin()->first; }
-  // Rows changed since the last call; all rows if `all`.
-  UsageUpdate take(bool all);
-  void forget(UsageWindow before);
+  /// True if the row raised a count. A row of a forgotten window, or with lists of different lengths, is ignored.
+  bool merge(UsageRow const& row);
+  TenantCounts counts_by_tenant(UsageWindow window) const;
+  /// Has every proxy that counted in this window, or in the one before, gone on to a later one?
+  bool is_complete(UsageWindow window) const;
+  /// The oldest window with counts; 0: none.
+  UsageWindow first_window() const { return counts_.empty() ? UsageWindow() : counts_.begin()->first; }
+  /// The rows to pass on now; they no longer count as changed.
+  UsageUpdate take_update(UsageRows which);
+  /// Raises the floor: windows before this one are forgotten and never taken in again.
+  void forget_before(UsageWindow window);
 
  private:
-  using Row = std::map<std::string, u64>;
   UsageWindow floor_;
-  std::map<UsageWindow, std::unordered_map<u64, Row>> m_;
-  std::set<std::pair<UsageWindow, u64>> dirty_;
-  std::unordered_map<u64, UsageWindow> newest_;  // by life; kept for a while after the rows
+  std::map<UsageWindow, std::unordered_map<u64, TenantCounts>> counts_;  // by window, by incarnation
+  std::set<std::pair<UsageWindow, u64>> changed_;                        // window, incarnation
+  std::unordered_map<u64, UsageWindow> newest_window_;  // by incarnation; kept for some windows after its rows
 };
 
-// The body of a window's report. The same totals give the same bytes.
-std::string usage_body(UsageWindow w, std::map<std::string, u64> const& sum);
+/// The JSON body of a window's report. The same counts give the same bytes.
+std::string usage_report_body(UsageWindow window, TenantCounts const& counts);
 
 }  // namespace dockbend
--- a/packages/usage/median_clock.cpp
+++ b/packages/usage/median_clock.cpp
@@ -6,38 +6,41 @@
 
 namespace dockbend {
 namespace {
-double const jump_s = 0.25;  // more than clocks drift apart between two readings
-Seconds const fresh_s = 30;  // what a mate said longer ago counts no more
+
+Seconds constexpr kJumpThreshold = 0.25;    // more than clocks drift apart between two readings
+Seconds constexpr kMaxPeerReadingAge = 30;  // older readings do not count
+
+double median(std::vector<double> values) {
+  std::sort(values.begin(), values.end());
+  std::size_t const middle = values.size() / 2;
+  return values.size() % 2 == 1 ? values[middle] : 0.5 * (values[middle - 1] + values[middle]);
+}
+
 }  // namespace
 
-void MedianClock::own(Seconds steady, WallSeconds wall) {
-  double const o = wall - steady;
-  last_ = std::max(last_, steady);
-  if (!has_own_) {
-    has_own_ = true;
-    own_ = o;
-    return;
-  }
+void MedianClock::on_own_reading(Seconds steady, WallSeconds wall) {
+  double const offset = wall - steady;
+  newest_reading_at_ = std::max(newest_reading_at_, steady);
   // Slow drift is followed, a jump is not.
-  if (std::abs(o - own_) < jump_s) own_ = o;
+  if (!has_own_offset_ || std::abs(offset - own_offset_) < kJumpThreshold) own_offset_ = offset;
+  has_own_offset_ = true;
 }
 
-void MedianClock::peer_reading(std::string const& who, Seconds steady, WallSeconds said) {
-  last_ = std::max(last_, steady);
-  controllers_[who] = Said{said - steady, steady};
+void MedianClock::on_peer_reading(std::string const& peer, Seconds steady, WallSeconds wall) {
+  newest_reading_at_ = std::max(newest_reading_at_, steady);
+  peers_[peer] = PeerReading{wall - steady, steady};
 }
 
 double MedianClock::offset() const {
-  std::vector<double> v;
-  if (has_own_) v.push_back(own_);
-  for (auto const& [w, s] : controllers_)
-    if (last_ - s.at < fresh_s) v.push_back(s.offset);
-  if (v.empty()) return 0;
-  std::sort(v.begin(), v.end());
-  std::size_t const n = v.size();
-  // Two that disagree can't be told apart; between two close ones the middle is best.
-  if (n == 2 && std::abs(v[1] - v[0]) > jump_s) return has_own_ ? own_ : v[0];
-  return n % 2 == 1 ? v[n / 2] : 0.5 * (v[n / 2 - 1] + v[n / 2]);
+  std::vector<double> offsets;
+  if (has_own_offset_) offsets.push_back(own_offset_);
+  for (auto const& [peer, reading] : peers_)
+    if (newest_reading_at_ - reading.taken_at < kMaxPeerReadingAge) offsets.push_back(reading.offset);
+  if (offsets.empty()) return 0;
+  // Of two that differ widely nobody can say which one jumped: ours counts, or else the lower one.
+  if (offsets.size() == 2 && std::abs(offsets[1] - offsets[0]) > kJumpThreshold)
+    return has_own_offset_ ? own_offset_ : std::min(offsets[0], offsets[1]);
+  return median(std::move(offsets));
 }
 
 }  // namespace dockbend
--- a/packages/usage/usage_totals.cpp
+++ b/packages/usage/usage_totals.cpp
@@ -3,121 +3,128 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
+#include <algorithm>
 #include <cmath>
 
 namespace dockbend {
+namespace {
 
-UsageWindow window_of(WallSeconds t, double period_s) {
-  return UsageWindow(t <= 0 || period_s <= 0 ? 0 : static_cast<u64>(std::floor(t / period_s)));
-}
+u64 constexpr kWindowsToRememberProxies = 10;  // after the floor has passed a proxy's newest window
 
-namespace {
-UsageRow row_of(u64 incarnation, UsageWindow w, std::map<std::string, u64> const& m) {
-  UsageRow r;
-  r.incarnation = incarnation;
-  r.window = w;
-  for (auto const& [t, n] : m) {
-    r.tenants.push_back(t);
-    r.counts.push_back(n);
+UsageRow make_row(u64 incarnation, UsageWindow window, TenantCounts const& counts) {
+  UsageRow row;
+  row.incarnation = incarnation;
+  row.window = window;
+  for (auto const& [tenant, count] : counts) {
+    row.tenants.push_back(tenant);
+    row.counts.push_back(count);
   }
-  return r;
+  return row;
 }
+
 }  // namespace
 
-void UsageCounter::began(std::string const& tenant, UsageWindow w) {
-  ++m_[w][tenant];
-  dirty_.insert(w);
+UsageWindow usage_window_at(WallSeconds time, double period) {
+  return UsageWindow(time <= 0 || period <= 0 ? 0 : static_cast<u64>(std::floor(time / period)));
+}
+
+void UsageCounter::count_request(std::string const& tenant, UsageWindow window) {
+  ++counts_[window][tenant];
+  changed_.insert(window);
 }
 
-UsageUpdate UsageCounter::take(bool all) {
-  UsageUpdate n;
-  for (auto const& [w, m] : m_)
-    if (all || dirty_.count(w) > 0) n.rows.push_back(row_of(incarnation_, w, m));
-  dirty_.clear();
-  return n;
+UsageUpdate UsageCounter::take_update(UsageRows which) {
+  UsageUpdate update;
+  for (auto const& [window, counts] : counts_)
+    if (which == UsageRows::all || changed_.count(window) > 0)
+      update.rows.push_back(make_row(incarnation_, window, counts));
+  changed_.clear();
+  return update;
 }
 
-void UsageCounter::forget(UsageWindow before) {
-  m_.erase(m_.begin(), m_.lower_bound(before));
-  dirty_.erase(dirty_.begin(), dirty_.lower_bound(before));
+void UsageCounter::forget_before(UsageWindow window) {
+  counts_.erase(counts_.begin(), counts_.lower_bound(window));
+  changed_.erase(changed_.begin(), changed_.lower_bound(window));
 }
 
-u64 UsageCounter::count(std::string const& tenant, UsageWindow w) const {
-  auto const it = m_.find(w);
-  if (it == m_.end()) return 0;
-  auto const t = it->second.find(tenant);
-  return t == it->second.end() ? 0 : t->second;
+u64 UsageCounter::count(std::string const& tenant, UsageWindow window) const {
+  auto const counts = counts_.find(window);
+  if (counts == counts_.end()) return 0;
+  auto const count = counts->second.find(tenant);
+  return count == counts->second.end() ? 0 : count->second;
 }
 
-bool UsageTotals::join(UsageRow const& r) {
-  if (r.window < floor_ || r.tenants.size() != r.counts.size()) return false;
-  Row& row = m_[r.window][r.incarnation];
-  UsageWindow& last = newest_[r.incarnation];
-  last = std::max(last, r.window);
-  bool news = false;
-  for (std::size_t i = 0; i < r.tenants.size(); ++i) {
-    u64& n = row[r.tenants[i]];
-    if (r.counts[i] <= n) continue;
-    n = r.counts[i];
-    news = true;
+bool UsageTotals::merge(UsageRow const& row) {
+  if (row.window < floor_ || row.tenants.size() != row.counts.size()) return false;
+  TenantCounts& counts = counts_[row.window][row.incarnation];
+  UsageWindow& newest_window = newest_window_[row.incarnation];
+  newest_window = std::max(newest_window, row.window);
+  bool has_risen = false;
+  for (std::size_t i = 0; i < row.tenants.size(); ++i) {
+    u64& count = counts[row.tenants[i]];
+    if (row.counts[i] <= count) continue;
+    count = row.counts[i];
+    has_risen = true;
   }
-  if (news) dirty_.insert({r.window, r.incarnation});
-  return news;
+  if (has_risen) changed_.insert({row.window, row.incarnation});
+  return has_risen;
 }
 
-std::map<std::string, u64> UsageTotals::sum(UsageWindow w) const {
-  std::map<std::string, u64> out;
-  auto const it = m_.find(w);
-  if (it == m_.end()) return out;
-  for (auto const& [incarnation, row] : it->second)
-    for (auto const& [t, n] : row)
-      out[t] += n;
-  return out;
+TenantCounts UsageTotals::counts_by_tenant(UsageWindow window) const {
+  TenantCounts totals;
+  auto const of_window = counts_.find(window);
+  if (of_window == counts_.end()) return totals;
+  for (auto const& [incarnation, counts] : of_window->second)
+    for (auto const& [tenant, count] : counts)
+      totals[tenant] += count;
+  return totals;
 }
 
-bool UsageTotals::complete(UsageWindow w) const {
-  for (auto const& [incarnation, last] : newest_)
-    if (last.v + 1 >= w.v && last <= w) return false;
-  return true;
+bool UsageTotals::is_complete(UsageWindow window) const {
+  return std::none_of(newest_window_.begin(), newest_window_.end(), [&](auto const& entry) {
+    UsageWindow const newest = entry.second;
+    return newest.v + 1 >= window.v && newest <= window;
+  });
 }
 
-UsageUpdate UsageTotals::take(bool all) {
-  UsageUpdate n;
-  if (all) {
-    for (auto const& [w, lives] : m_)
-      for (auto const& [incarnation, row] : lives)
-        n.rows.push_back(row_of(incarnation, w, row));
+UsageUpdate UsageTotals::take_update(UsageRows which) {
+  UsageUpdate update;
+  if (which == UsageRows::all) {
+    for (auto const& [window, by_incarnation] : counts_)
+      for (auto const& [incarnation, counts] : by_incarnation)
+        update.rows.push_back(make_row(incarnation, window, counts));
   } else {
-    for (auto const& [w, incarnation] : dirty_)
-      n.rows.push_back(row_of(incarnation, w, m_[w][incarnation]));
+    for (auto const& [window, incarnation] : changed_)
+      update.rows.push_back(make_row(incarnation, window, counts_[window][incarnation]));
   }
-  dirty_.clear();
-  return n;
+  changed_.clear();
+  return update;
 }
 
-void UsageTotals::forget(UsageWindow before) {
-  if (before <= floor_) return;
-  floor_ = before;
-  m_.erase(m_.begin(), m_.lower_bound(before));
-  dirty_.erase(dirty_.begin(), dirty_.lower_bound({before, 0}));
-  std::erase_if(newest_, [&](auto const& x) { return x.second.v + 10 < before.v; });
+void UsageTotals::forget_before(UsageWindow window) {
+  if (window <= floor_) return;
+  floor_ = window;
+  counts_.erase(counts_.begin(), counts_.lower_bound(window));
+  changed_.erase(changed_.begin(), changed_.lower_bound({window, 0}));
+  std::erase_if(newest_window_,
+                [&](auto const& entry) { return entry.second.v + kWindowsToRememberProxies < window.v; });
 }
 
-std::string usage_body(UsageWindow w, std::map<std::string, u64> const& sum) {
-  rapidjson::StringBuffer sb;
-  rapidjson::Writer<rapidjson::StringBuffer> j(sb);
-  j.StartObject();
-  j.Key("windowIndex");
-  j.Uint64(w.v);
-  j.Key("tallies");
-  j.StartObject();
-  for (auto const& [t, n] : sum) {
-    j.Key(t.c_str(), static_cast<rapidjson::SizeType>(t.size()));
-    j.Uint64(n);
+std::string usage_report_body(UsageWindow window, TenantCounts const& counts) {
+  rapidjson::StringBuffer buffer;
+  rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
+  json.StartObject();
+  json.Key("windowIndex");
+  json.Uint64(window.v);
+  json.Key("tallies");
+  json.StartObject();
+  for (auto const& [tenant, count] : counts) {
+    json.Key(tenant.c_str(), static_cast<rapidjson::SizeType>(tenant.size()));
+    json.Uint64(count);
   }
-  j.EndObject();
-  j.EndObject();
-  return std::string(sb.GetString(), sb.GetSize());
+  json.EndObject();
+  json.EndObject();
+  return std::string(buffer.GetString(), buffer.GetSize());
 }
 
 }  // namespace dockbend
