--- a/tests/quota/quota_test.cpp
+++ b/tests/quota/quota_test.cpp
@@ -1,243 +1,268 @@
+/// Proxies' QuotaClients and a QuotaAllocator on one simulated clock, with messages that are late, lost or repeated.
 #include <criterion/criterion.h>
 
+#include <cmath>
 #include <deque>
 #include <map>
 #include <memory>
 #include <random>
 
-#include "quota/quota.hpp"
+#include "quota/quota_allocator.hpp"
+#include "quota/quota_client.hpp"
 
 using namespace dockbend;
 
 namespace {
 
-// Gateways, a lender and letters between them on one simulated clock.
-struct Town {
-  struct Gate {
-    std::unique_ptr<QuotaClient> b;
-    bool up = true, cut = false;
-    double rate = 0, low = 0;  // errands a second of partner "a"
-    double other = 0;          // and of partner "b"
+struct Simulation {
+  struct Proxy {
+    std::unique_ptr<QuotaClient> client;
+    bool is_up = true, is_cut_off = false;
+    double rate = 0, low_rate = 0;  // requests a second of tenant "a", of high and of low rank
+    double other_rate = 0;          // and of tenant "b"
     u64 incarnation = 0;
-    struct Parked {
+    struct WaitingRequest {
       std::string tenant;
-      bool high = true;
-      u64 ask = 0;
+      bool is_high_rank = true;
+      u64 awaited_seq = 0;
     };
-    std::vector<Parked> parked;  // wait for the lender's next answer
+    std::vector<WaitingRequest> waiting;  // for the allocator's next response
   };
   struct Message {
     Seconds at = 0;
-    bool ask = true;
-    std::size_t gate = 0;
+    bool is_request = true;
+    std::size_t proxy = 0;
     u64 incarnation = 0;
-    QuotaLeaseRequest a;
-    QuotaLeaseResponse r;
+    QuotaLeaseRequest request;
+    QuotaLeaseResponse response;
   };
-  Town(unsigned seed, std::size_t n, QuotaRule rule) : rnd(seed), rule(rule) {
-    gates.resize(n);
-    for (std::size_t i = 0; i < n; ++i)
+
+  Simulation(unsigned seed, std::size_t proxy_count, QuotaRule quota_rule) : random(seed), rule(quota_rule) {
+    proxies.resize(proxy_count);
+    for (std::size_t i = 0; i < proxy_count; ++i)
       start(i);
-    lender.open(0);
-    rules(0);
+    allocator.open(0);
+    set_rules();
   }
-  void rules(Seconds at) {
-    for (char const* t : {"a", "b"})
-      lender.rule(t, rule, static_cast<double>(gates.size()), at);
+
+  double proxy_count() const { return static_cast<double>(proxies.size()); }
+  void set_rules() {
+    for (char const* tenant : {"a", "b"})
+      allocator.set_rule(tenant, rule, proxy_count(), now);
   }
-  double u() { return std::uniform_real_distribution<>(0, 1)(rnd); }
+  double uniform() { return std::uniform_real_distribution<>(0, 1)(random); }
+  Seconds message_delay() { return 0.005 + 0.06 * uniform(); }
+
   void start(std::size_t i) {
-    Gate& g = gates[i];
-    g.incarnation = ++lives;
-    g.b = std::make_unique<QuotaClient>(g.incarnation, "gate-" + std::to_string(i));
-    for (char const* t : {"a", "b"})
-      g.b->rule(t, rule, static_cast<double>(gates.size()), now);
-    g.parked.clear();
-    g.up = true;
+    Proxy& proxy = proxies[i];
+    proxy.incarnation = ++incarnations;
+    proxy.client = std::make_unique<QuotaClient>(proxy.incarnation, "gate-" + std::to_string(i));
+    for (char const* tenant : {"a", "b"})
+      proxy.client->set_rule(tenant, rule, proxy_count(), now);
+    proxy.waiting.clear();
+    proxy.is_up = true;
   }
-  void step(Seconds dt) {
-    now += dt;
-    rules(now);
-    for (std::size_t k = 0; k < letters.size();) {
-      if (letters[k].at > now) {
+
+  void step(Seconds duration) {
+    now += duration;
+    set_rules();
+    for (std::size_t k = 0; k < messages.size();) {
+      if (messages[k].at > now) {
         ++k;
         continue;
       }
-      Message const l = letters[k];
-      letters.erase(letters.begin() + static_cast<long>(k));
-      Gate& g = gates[l.gate];
-      if (g.cut) continue;
-      if (l.ask) {
-        ++asks;
-        if (!lender_up) continue;
-        Message back{now + 0.005 + 0.06 * u(), false, l.gate, l.incarnation, {}, lender.ask(l.a, now)};
-        letters.push_back(back);
-        if (u() < 0.02) letters.push_back(back);  // said twice
-      } else if (g.up) {
-        g.b->got(l.r, now);  // a letter for a former life is not ours
-        auto const p = std::move(g.parked);
-        g.parked.clear();
-        for (auto const& x : p) {
-          if (x.ask > l.r.seq)
-            g.parked.push_back(x);
-          else
-            go(g, x.tenant, x.high, true);
-        }
-      }
+      Message const message = messages[k];
+      messages.erase(messages.begin() + static_cast<long>(k));
+      deliver(message);
     }
-    for (std::size_t i = 0; i < gates.size(); ++i) {
-      Gate& g = gates[i];
-      if (!g.up) continue;
-      auto attempts = [&](std::string const& t, double rate, bool high) {
-        double n = rate * dt;
-        while (n > 0 && (n >= 1 || u() < n)) {
-          n -= 1;
-          ++asked[t];
-          go(g, t, high, false);
-        }
-      };
-      attempts("a", g.rate, true);
-      attempts("a", g.low, false);
-      attempts("b", g.other, true);
-      if (g.b->due(now)) {
-        QuotaLeaseRequest const a = g.b->ask(now);
-        if (a.wants.empty())
-          g.b->lost();
-        else
-          letters.push_back(Message{now + 0.005 + 0.06 * u(), true, i, g.incarnation, a, {}});
-      }
+    for (std::size_t i = 0; i < proxies.size(); ++i)
+      if (proxies[i].is_up) step_proxy(i, duration);
+  }
+
+  void deliver(Message const& message) {
+    Proxy& proxy = proxies[message.proxy];
+    if (proxy.is_cut_off) return;
+    if (message.is_request) {
+      ++quota_requests;
+      if (!is_allocator_up) return;
+      Message const response{now + message_delay(), false, message.proxy,
+                             message.incarnation,   {},    allocator.grant(message.request, now)};
+      messages.push_back(response);
+      if (uniform() < 0.02) messages.push_back(response);  // arrives twice
+    } else if (proxy.is_up) {
+      proxy.client->on_response(message.response, now);  // one for an earlier process is ignored
+      retry_waiting(proxy, message.response.seq);
     }
   }
-  // As a proxy does: one wait for the lender, then it goes or is refused.
-  void go(Gate& g, std::string const& t, bool high, bool waited) {
-    auto const tok = g.b->take(t, high, now);
-    if (!tok) {
-      if (!waited) {
-        g.parked.push_back({t, high, g.b->waits(t, now)});
-      } else {
-        g.b->refused(t);
-      }
-      return;
+
+  void retry_waiting(Proxy& proxy, u64 seq) {
+    auto const waiting = std::move(proxy.waiting);
+    proxy.waiting.clear();
+    for (auto const& request : waiting) {
+      if (request.awaited_seq > seq)
+        proxy.waiting.push_back(request);
+      else
+        handle_request(proxy, request.tenant, request.is_high_rank, true);
     }
-    if (u() < 0.05) {  // it never ran
-      g.b->give_back(t, tok, now);
-      --asked[t];
-      return;
+  }
+
+  void step_proxy(std::size_t i, Seconds duration) {
+    Proxy& proxy = proxies[i];
+    auto const add_requests = [&](std::string const& tenant, double rate, bool is_high_rank) {
+      double expected = rate * duration;
+      while (expected > 0 && (expected >= 1 || uniform() < expected)) {
+        expected -= 1;
+        ++requested[tenant];
+        handle_request(proxy, tenant, is_high_rank, false);
+      }
+    };
+    add_requests("a", proxy.rate, true);
+    add_requests("a", proxy.low_rate, false);
+    add_requests("b", proxy.other_rate, true);
+    if (!proxy.client->is_request_due(now)) return;
+    QuotaLeaseRequest const request = proxy.client->make_request(now);
+    if (request.wants.empty())
+      proxy.client->on_request_lost();
+    else
+      messages.push_back(Message{now + message_delay(), true, i, proxy.incarnation, request, {}});
+  }
+
+  /// As a proxy does: a request waits for the allocator once, then it runs or is refused.
+  void handle_request(Proxy& proxy, std::string const& tenant, bool is_high_rank, bool has_waited) {
+    auto const token = proxy.client->take(tenant, is_high_rank, now);
+    if (!token && !has_waited) {
+      proxy.waiting.push_back({tenant, is_high_rank, proxy.client->await_tokens(tenant, now)});
+    } else if (!token) {
+      proxy.client->count_refusal(tenant);
+    } else if (uniform() < 0.05) {  // it never ran
+      proxy.client->give_back(tenant, token, now);
+      --requested[tenant];
+    } else {
+      spent_at[tenant].push_back(now);
+      if (tenant == "a") (is_high_rank ? spent_high : spent_low) += 1;
     }
-    all_spent[t].push_back(now);
-    if (t == "a") (high ? spent_high : spent_low) += 1;
   }
-  // The most that was spent over any span, against what the budget allows.
-  double worst(std::string const& t = "a") {
-    std::deque<Seconds> const& spent = all_spent[t];
-    double w = 0;
+
+  /// The most that was spent over any span, as a share of what the limit allows.
+  double worst_use(std::string const& tenant = "a") {
+    std::deque<Seconds> const& spent = spent_at[tenant];
+    double worst = 0;
     for (std::size_t i = 0; i < spent.size(); i += 7)
       for (std::size_t j = i; j < spent.size(); j += 7) {
-        double const most = rule.rate * (spent[j] - spent[i]) + rule.burst;
-        w = std::max(w, static_cast<double>(j - i + 1) / most);
+        double const allowed = rule.rate * (spent[j] - spent[i]) + rule.burst;
+        worst = std::max(worst, static_cast<double>(j - i + 1) / allowed);
       }
-    return w;
+    return worst;
+  }
+  /// How many requests of tenant "a" ran between two times.
+  double spent_between(Seconds from, Seconds until) {
+    std::size_t count = 0;
+    for (Seconds const at : spent_at["a"])
+      count += at > from && at < until ? 1 : 0;
+    return static_cast<double>(count);
   }
-  std::mt19937 rnd;
+  double served_share(std::string const& tenant) {
+    return static_cast<double>(spent_at[tenant].size()) / static_cast<double>(requested[tenant]);
+  }
+  /// True in the one step that begins at that time.
+  bool is_at(Seconds time) const { return now > time && now < time + 0.02; }
+
+  std::mt19937 random;
   QuotaRule rule;
   Seconds now = 0;
-  u64 lives = 0;
-  bool lender_up = true;
-  QuotaAllocator lender;
-  std::vector<Gate> gates;
-  std::vector<Message> letters;
-  std::map<std::string, std::deque<Seconds>> all_spent;
-  std::size_t asks = 0;
-  std::map<std::string, std::size_t> asked;
-  double spent_high = 0, spent_low = 0;
+  u64 incarnations = 0;
+  bool is_allocator_up = true;
+  QuotaAllocator allocator;
+  std::vector<Proxy> proxies;
+  std::vector<Message> messages;
+  std::map<std::string, std::deque<Seconds>> spent_at;  // by tenant
+  std::size_t quota_requests = 0;
+  std::map<std::string, std::size_t> requested;  // by tenant
+  double spent_high = 0, spent_low = 0;          // of tenant "a"
 };
 
 }  // namespace
 
-// A surge through all gateways, one of them lost midway, one cut off, the lender
-// replaced: over every span the partner gets its budget and no more.
-Test(allowance, a_surge_is_held_over_every_span_whatever_is_lost) {
+// A surge through all proxies, one of them lost midway, one cut off, the allocator replaced: over every span the tenant
+// gets its limit and no more.
+Test(quota, a_surge_stays_within_the_limit_over_every_span_whatever_is_lost) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
-    Town t(seed, 8, QuotaRule{50, 40, 0});
-    for (auto& g : t.gates) {
-      g.rate = 30;  // 240 a second want in
-      g.other = 4;  // another partner, well within its own budget
+    Simulation simulation(seed, 8, QuotaRule{50, 40, 0});
+    for (auto& proxy : simulation.proxies) {
+      proxy.rate = 30;       // 240 requests a second in all
+      proxy.other_rate = 4;  // another tenant, well within its own limit
     }
-    while (t.now < 20) {
-      t.step(0.01);
-      if (t.now > 6 && t.now < 6.02) t.gates[2].up = false;
-      if (t.now > 8 && t.now < 8.02) t.gates[3].cut = true;
-      if (t.now > 9 && t.now < 9.02 && !t.gates[2].up) t.start(2);
-      if (t.now > 11 && t.now < 11.02) {  // the lender is lost; its successor waits
-        t.lender_up = false;
-        t.lender = QuotaAllocator();
-        t.lender.open(t.now + 1.4);
+    while (simulation.now < 20) {
+      simulation.step(0.01);
+      if (simulation.is_at(6)) simulation.proxies[2].is_up = false;
+      if (simulation.is_at(8)) simulation.proxies[3].is_cut_off = true;
+      if (simulation.is_at(9) && !simulation.proxies[2].is_up) simulation.start(2);
+      if (simulation.is_at(11)) {  // the allocator is lost; its successor waits
+        simulation.is_allocator_up = false;
+        simulation.allocator = QuotaAllocator();
+        simulation.allocator.open(simulation.now + 1.4);
       }
-      if (t.now > 11.5) t.lender_up = true;
-      if (t.now > 14 && t.now < 14.02) t.gates[3].cut = false;
+      if (simulation.now > 11.5) simulation.is_allocator_up = true;
+      if (simulation.is_at(14)) simulation.proxies[3].is_cut_off = false;
     }
-    for (char const* p : {"a", "b"})
-      cr_assert_leq(t.worst(p), 1.0, "seed %u: %s got %.3f of the budget", seed, p, t.worst(p));
-    // The other's served share: what it lost, it lost at the gateway that was cut off and
-    // while nobody lent.
-    double const share = static_cast<double>(t.all_spent["b"].size()) / static_cast<double>(t.asked["b"]);
+    for (char const* tenant : {"a", "b"})
+      cr_assert_leq(simulation.worst_use(tenant), 1.0, "seed %u: %s got %.3f of the limit", seed, tenant,
+                    simulation.worst_use(tenant));
+    // What the other tenant lost, it lost at the proxy that was cut off and while nobody granted.
+    double const share = simulation.served_share("b");
     cr_assert_gt(share, 0.8, "seed %u: %.3f", seed, share);
-    std::size_t calm = 0;
-    for (Seconds const s : t.all_spent["a"])
-      calm += s > 2 && s < 6 ? 1 : 0;
-    cr_assert_gt(static_cast<double>(calm), 0.75 * 50 * 4, "seed %u: the budget is of use, %zu", seed, calm);
+    double const before_faults = simulation.spent_between(2, 6);
+    cr_assert_gt(before_faults, 0.75 * 50 * 4, "seed %u: the limit is used, %.0f", seed, before_faults);
   }
 }
 
-// While nothing fails, a surge of one partner takes nothing from another.
-Test(allowance, a_surge_takes_nothing_from_other_partners) {
-  Town t(9, 8, QuotaRule{50, 40, 0});
-  for (auto& g : t.gates) {
-    g.rate = 60;
-    g.other = 4;
+// While nothing fails, a surge of one tenant takes nothing from another.
+Test(quota, a_surge_takes_nothing_from_other_tenants) {
+  Simulation simulation(9, 8, QuotaRule{50, 40, 0});
+  for (auto& proxy : simulation.proxies) {
+    proxy.rate = 60;
+    proxy.other_rate = 4;
   }
-  while (t.now < 15)
-    t.step(0.01);
-  double const share = static_cast<double>(t.all_spent["b"].size()) / static_cast<double>(t.asked["b"]);
+  while (simulation.now < 15)
+    simulation.step(0.01);
+  double const share = simulation.served_share("b");
   cr_assert_gt(share, 0.95, "%.3f", share);
-  cr_assert_leq(t.worst("a"), 1.0);
+  cr_assert_leq(simulation.worst_use("a"), 1.0);
 }
 
-Test(allowance, one_hot_gateway_uses_nearly_all) {
-  Town t(3, 20, QuotaRule{100, 50, 0});
-  t.gates[5].rate = 300;
-  while (t.now < 12)
-    t.step(0.01);
-  std::size_t n = 0;
-  for (Seconds const s : t.all_spent["a"])
-    n += s > 2 ? 1 : 0;
-  cr_assert_gt(static_cast<double>(n), 0.8 * 100 * 10, "%zu", n);
-  cr_assert_leq(t.worst(), 1.0);
+Test(quota, one_busy_proxy_can_use_nearly_the_whole_limit) {
+  Simulation simulation(3, 20, QuotaRule{100, 50, 0});
+  simulation.proxies[5].rate = 300;
+  while (simulation.now < 12)
+    simulation.step(0.01);
+  double const spent = simulation.spent_between(2, HUGE_VAL);
+  cr_assert_gt(spent, 0.8 * 100 * 10, "%.0f", spent);
+  cr_assert_leq(simulation.worst_use(), 1.0);
 }
 
-Test(allowance, a_reserve_keeps_reads_from_starving_confirmations) {
+Test(quota, a_reserve_keeps_low_rank_from_starving_high_rank) {
   for (double const reserve : {0.0, 0.5}) {
-    Town t(4, 4, QuotaRule{40, 40, reserve});
-    for (auto& g : t.gates) {
-      g.low = 100;
-      g.rate = 4;
+    Simulation simulation(4, 4, QuotaRule{40, 40, reserve});
+    for (auto& proxy : simulation.proxies) {
+      proxy.low_rate = 100;
+      proxy.rate = 4;
     }
-    while (t.now < 15)
-      t.step(0.01);
-    double const share = t.spent_high / (16 * 15);
+    while (simulation.now < 15)
+      simulation.step(0.01);
+    double const share = simulation.spent_high / (16 * 15);
     if (reserve > 0) cr_assert_gt(share, 0.75, "%.2f", share);
-    cr_assert_leq(t.worst(), 1.0);
+    cr_assert_leq(simulation.worst_use(), 1.0);
   }
 }
 
-// Letters follow the gateways that are in use, not gateways x partners.
-Test(allowance, idle_gateways_ask_nothing) {
-  Town t(5, 50, QuotaRule{50, 50, 0});
+// Messages follow the proxies in use, not proxies times tenants.
+Test(quota, idle_proxies_send_no_requests) {
+  Simulation simulation(5, 50, QuotaRule{50, 50, 0});
   for (int k = 0; k < 100; ++k)
-    for (auto& g : t.gates)
-      g.b->rule("idle-" + std::to_string(k), QuotaRule{10, 10, 0}, 50, 0);
-  t.gates[0].rate = 10;
-  while (t.now < 10)
-    t.step(0.01);
-  cr_assert_lt(t.asks, 10u * 25, "%zu", t.asks);
+    for (auto& proxy : simulation.proxies)
+      proxy.client->set_rule("idle-" + std::to_string(k), QuotaRule{10, 10, 0}, 50, 0);
+  simulation.proxies[0].rate = 10;
+  while (simulation.now < 10)
+    simulation.step(0.01);
+  cr_assert_lt(simulation.quota_requests, 10u * 25, "%zu", simulation.quota_requests);
 }
