--- /dev/null
+++ b/packages/controller/idempotency_service.cpp
@@ -0,0 +1,208 @@
+#include "controller/idempotency_service.hpp"
+
+namespace dockbend {
+
+IdempotencyService::IdempotencyService(ControllerContext& h, u64 filled)
+    : context_(h), ledger_(false), copying_(filled) {
+  fit(context_.acceptor->state());
+}
+
+void IdempotencyService::rebuild(Seconds now) {
+  if (ledger_.whole() || !context_.committed || now < rebuild_at_) return;
+  Member const* me = context_.committed->member(context_.settings.ip);
+  if (me == nullptr || me->incarnation != context_.acceptor->incarnation()) return;
+  rebuild_at_ = now + 0.7;
+  KeyCopyRequest q;
+  q.epoch = context_.committed->epoch;
+  for (Member const& m : context_.committed->membership)
+    if (m.ip != context_.settings.ip && copying_.wants(m.ip) && context_.controller(m.ip).link)
+      context_.controller(m.ip).link->send(MessageType::key_copy_request, 0, q);
+}
+
+void IdempotencyService::rebuilt(std::string const& ip, KeyCopyResponse const& r) {
+  if (filling_ || !context_.committed) return;
+  ReplicatedState const& st = *context_.committed;
+  Member const* m = st.member(ip);
+  if (r.ok && r.epoch < st.epoch) context_.unmatched.drop(UnmatchedReason::epoch);  // asked under an earlier roster
+  KeyBackfill::Progress const got =
+      copying_.hear(ip, r, m == nullptr ? std::nullopt : std::optional<Incarnation>(m->incarnation), st.epoch,
+                    st.majority(), ledger_, steady_now());
+  std::vector<AsyncStore::Op> ops;
+  for (HeldKey const& k : got.put)
+    ops.push_back(key_op(k.key, k.holder, true));
+  if (got.enough) {
+    u64 const in = since_in(st);
+    ops.push_back(AsyncStore::put_meta("whole", DiskStore::whole_word(in)));
+    filling_ = true;
+    context_.disk->submit(std::move(ops), [this, in](bool ok) {
+      filling_ = false;
+      if (!ok) {
+        copying_.reset();
+        return;
+      }
+      copying_.done(in);
+      fit(context_.acceptor->state());
+      if (!ledger_.whole()) return;  // out of the roster meanwhile
+      on_whole.emit();
+      LOG4CPLUS_INFO(logger_, "Keys are whole, " << ledger_.size() << " of them.");
+    });
+  } else if (!ops.empty()) {
+    context_.disk->submit(std::move(ops), [this](bool ok) {
+      if (!ok) copying_.reset();
+    });
+  }
+}
+
+void IdempotencyService::claim(ConnectionPtr const& ch, u32 tag, ClaimRequest const& c) {
+  ClaimResponse r;
+  r.incarnation = context_.acceptor->incarnation();
+  if (c.incarnation != r.incarnation) return context_.unmatched.drop(UnmatchedReason::disk_life);
+  if (!context_.born) return;
+  Epoch const mine = context_.acceptor->state() ? context_.acceptor->state()->epoch : Epoch(~0ULL);
+  if (mine != fit_at_) fit(context_.acceptor->state());
+  u64 const late = ledger_.late();
+  if (ledger_.claim(c, mine, steady_now(), r) != ClaimVote::granted) {
+    context_.unmatched.drop(UnmatchedReason::late_claim, ledger_.late() - late);
+    ch->send(MessageType::claim_response, tag, r);
+    return;
+  }
+  std::weak_ptr<Connection> const w = ch;
+  context_.disk->submit({key_op(c.key, c.holder, false)}, [this, w, tag, r, key = c.key, holder = c.holder](bool ok) {
+    if (!ledger_.written(key, holder, ok)) return;
+    if (auto const cp = w.lock()) cp->send(MessageType::claim_response, tag, r);
+  });
+}
+
+void IdempotencyService::store(std::string_view body, bool relay) {
+  StoredAnswer const r = codec::unpack<StoredAnswer>(body);
+  if (r.body.size() > 64 * 1024) return;
+  AsyncStore::Op o;
+  o.what = AsyncStore::Op::What::put_ret;
+  o.k = r.key;
+  o.v.assign(body);
+  context_.disk->submit_lazy({o});
+  Seconds const now = steady_now();
+  ret_order_.push_back({r.key, now, body.size()});
+  ret_bytes_ += body.size();
+  std::vector<AsyncStore::Op> old;
+  // Answers are a convenience, votes are not: answers give way long before the
+  // disk is full.
+  double const most = (context_.settings.diskMb > 0 ? context_.settings.diskMb : 256) * 0.3e6;
+  while (!ret_order_.empty() && (now - ret_order_.front().at > context_.settings.bounds.keyHorizonS * 1.25 + 5 ||
+                                 static_cast<double>(ret_bytes_) > most)) {
+    AsyncStore::Op d;
+    d.what = AsyncStore::Op::What::drop_ret;
+    d.k = ret_order_.front().key;
+    ret_bytes_ -= ret_order_.front().bytes;
+    old.push_back(std::move(d));
+    ret_order_.pop_front();
+  }
+  if (!old.empty()) context_.disk->submit_lazy(std::move(old));
+  if (!relay || !context_.committed) return;
+  Member const* best = nullptr;
+  for (Member const& m : context_.committed->membership) {
+    if (m.ip == context_.settings.ip || !context_.up(m.ip)) continue;
+    if (!r.homes.empty() && std::find(r.homes.begin(), r.homes.end(), m.region) == r.homes.end()) continue;
+    if (best == nullptr || (m.region == context_.settings.region && best->region != context_.settings.region))
+      best = &m;
+  }
+  if (best != nullptr) context_.controllers[best->ip].link->ch()->send(MessageType::store_answer, 0, body);
+}
+
+void IdempotencyService::load(std::vector<StoredKey> const& keys,
+                              std::vector<std::pair<std::string, std::size_t>> const& rets) {
+  Seconds const now = steady_now();
+  for (StoredKey const& k : keys)
+    ledger_.load(k.key, k.holder, k.sealed, now);
+  for (auto const& [k, n] : rets) {
+    ret_order_.push_back({k, now, n});
+    ret_bytes_ += n;
+  }
+}
+
+void IdempotencyService::release(ReleaseRequest const& r) {
+  if (!ledger_.release(r)) return;
+  AsyncStore::Op o;
+  o.what = AsyncStore::Op::What::drop_key;
+  o.k = r.key;
+  context_.disk->submit_lazy({o});
+}
+
+void IdempotencyService::fetch(ConnectionPtr const& ch, u32 tag, FetchAnswerRequest const& f) {
+  std::weak_ptr<Connection> const w = ch;
+  context_.disk->find_ret(f.key, [w, tag](std::string const& v) {
+    FetchAnswerResponse r;
+    r.have = !v.empty();
+    r.ret = v;
+    if (auto const c = w.lock()) c->send(MessageType::fetch_answer_response, tag, r);
+  });
+}
+
+KeyCopyResponse IdempotencyService::copy_for(KeyCopyRequest const& q) {
+  if (context_.acceptor->state() && context_.acceptor->state()->epoch != fit_at_) fit(context_.acceptor->state());
+  std::optional<ReplicatedState> const& st = context_.acceptor->state();
+  return KeyBackfill::answer(ledger_, context_.acceptor->incarnation(),
+                             st ? std::optional<Epoch>(st->epoch) : std::nullopt, q);
+}
+
+void IdempotencyService::roster_changed() {
+  copying_.reset();
+  fit(context_.acceptor->state());
+}
+
+bool IdempotencyService::hand_on(std::string const& ip) {
+  if (handing_ != ip) {
+    handing_ = ip;
+    hand_ix_ = ret_order_.size();
+  }
+  for (int i = 0; i < 100 && hand_ix_ > 0; ++i) {
+    Kept const& k = ret_order_[--hand_ix_];
+    context_.disk->find_ret(k.key, [this, ip](std::string const& v) {
+      auto const it = context_.controllers.find(ip);
+      if (!v.empty() && it != context_.controllers.end() && it->second.link && it->second.link->up())
+        it->second.link->ch()->send(MessageType::store_answer, 0, std::string_view(v));
+    });
+  }
+  return hand_ix_ == 0;
+}
+
+void IdempotencyService::forget_old(Seconds now) {
+  auto const old = ledger_.forget(context_.settings.bounds.keyHorizonS * 1.25 + 5, now, 200);
+  if (old.empty()) return;
+  std::vector<AsyncStore::Op> ops;
+  for (std::string const& k : old) {
+    AsyncStore::Op o;
+    o.what = AsyncStore::Op::What::drop_key;
+    o.k = k;
+    ops.push_back(std::move(o));
+  }
+  context_.disk->submit_lazy(std::move(ops));
+}
+
+KeyTable const& IdempotencyService::ledger() const {
+  return ledger_;
+}
+
+u64 IdempotencyService::since_in(ReplicatedState const& s) const {
+  Member const* m = s.member(context_.settings.ip);
+  return KeyBackfill::membership(m == nullptr || m->incarnation != context_.acceptor->incarnation()
+                                     ? std::nullopt
+                                     : std::optional<Epoch>(m->since));
+}
+
+void IdempotencyService::fit(std::optional<ReplicatedState> const& s) {
+  if (!s) return;
+  fit_at_ = s->epoch;
+  copying_.fit(since_in(*s), ledger_);
+}
+
+AsyncStore::Op IdempotencyService::key_op(std::string const& k, u64 holder, bool sealed) {
+  AsyncStore::Op o;
+  o.what = AsyncStore::Op::What::put_key;
+  o.k = k;
+  o.holder = holder;
+  o.sealed = sealed;
+  return o;
+}
+
+}  // namespace dockbend
--- a/packages/controller/include/controller/consensus_service.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -18,13 +18,7 @@
 // a round that was lost come before the ones that came later.
 class ConsensusService {
  public:
-  explicit ConsensusService(ControllerContext& h)
-      : context_(h),
-        proposer_(h.settings.ip,
-                  [this](Ballot have, Ballot ballot) {
-                    return accepted() == ballot ? context_.acceptor->since(have) : std::nullopt;
-                  }),
-        patience_((h.settings.linkMbps > 0 ? h.settings.linkMbps : 10) * 1e6 / 8) {}
+  explicit ConsensusService(ControllerContext& h);
 
   sigc::signal<void()> on_view;          // the view changed; before the nodes we feed hear of it
   sigc::signal<void(bool)> on_value;     // a value is in force; true: its roster is another
@@ -32,262 +26,43 @@
 
   // Opens the disk and reads back what it holds. A disk that can't be read whole is as one
   // that was lost: it begins a new life, and has no vote until the roster names that.
-  StoredState open() {
-    std::string const dir = context_.settings.dataDir.empty() ? std::string("/tmp") : context_.settings.dataDir;
-    ::mkdir(dir.c_str(), 0755);
-    StoredState d;
-    try {
-      context_.disk = std::make_unique<AsyncStore>(context_.loop, dir);
-      d = context_.disk->load();
-    } catch (StorageCorruption const& e) {
-      LOG4CPLUS_ERROR(logger_, "The register in " << dir << " can't be read whole (" << e.what()
-                                                  << "); this disk begins a new life.");
-      context_.disk.reset();
-      DiskStore::set_aside(dir);
-      context_.disk = std::make_unique<AsyncStore>(context_.loop, dir);
-      d = context_.disk->load();
-    }
-    bool const seed = std::any_of(context_.settings.seeds.begin(), context_.settings.seeds.end(),
-                                  [&](Address const& a) { return a.ip == context_.settings.ip; });
-    // An empty disk is a new member, unless the system itself begins here.
-    bool const founder = d.fresh && context_.settings.bootstrap && seed;
-    Incarnation const l = d.head ? d.head->incarnation : founder ? Incarnation(1) : Incarnation((random64() >> 2) | 2);
-    bool const first = !d.head;
-    if (first) d.keys_filled = founder ? 1 : 0;  // a founder is of membership 0
-    if (!d.value && d.fresh && context_.settings.bootstrap) {
-      ReplicatedState f;
-      for (Address const& a : context_.settings.seeds) {
-        Member m;
-        m.ip = a.ip;
-        m.incarnation = Incarnation(1);
-        m.control = a.port;
-        m.whole = true;
-        f.membership.push_back(m);
-      }
-      std::sort(f.membership.begin(), f.membership.end(), [](Member const& a, Member const& b) { return a.ip < b.ip; });
-      d.value = f;
-    }
-    // Only at the very first start is the founding value known to be the newest.
-    if (first && d.value) context_.committed = d.value;
-    context_.acceptor = std::make_unique<Acceptor>(l, d.head ? d.head->promised : Ballot(), d.value);
-    if (d.head) proposer_.saw(d.head->promised);
-    if (!first && d.value) durable_ = d.value->ballot;
-    writer_ = std::make_unique<VoteWriter<AsyncStore>>(*context_.disk, d.head ? d.head->seq : 0);
-    if (!first) {
-      context_.born = true;
-      return d;
-    }
-    if (founder) context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(d.keys_filled))});
-    std::vector<StateRow> rows;
-    if (d.value) rows = rows_of(*d.value);
-    vote(std::move(rows), [this](bool ok) {
-      if (!ok) on_first_failed.emit();
-      context_.born = ok;
-    });
-    return d;
-  }
+  StoredState open();
   // What was read back and is known to stand is in force from the start.
-  void show_first() {
-    if (!context_.committed) return;
-    show(nullptr, *context_.committed);
-    on_value.emit(false);
-  }
+  void show_first();
 
-  Ballot ballot() const { return context_.committed ? context_.committed->ballot : Ballot(); }
-  Ballot accepted() const { return context_.acceptor->state() ? context_.acceptor->state()->ballot : Ballot(); }
-  Ballot durable() const { return durable_; }
-  bool quiet() const { return calls_.empty() && batch_.empty(); }
+  Ballot ballot() const;
+  Ballot accepted() const;
+  Ballot durable() const;
+  bool quiet() const;
 
   void submit(std::function<bool(ReplicatedState&)> change, std::function<void(ReplicatedState const*)> done,
-              Seconds patience) {
-    calls_.push_back(Call{std::move(change), std::move(done), steady_now() + patience});
-    pump();
-  }
+              Seconds patience);
 
   // ---- other members -----------------------------------------------------------------
   // What mates say of the value they hold on disk. Once a majority holds ours, it
   // is committed; after a start of the whole core nobody else could tell us.
-  void holds(std::string const& ip, Incarnation incarnation, Ballot acc) {
-    PeerController& m = context_.controller(ip);
-    m.incarnation = incarnation;
-    m.accepted = acc;
-    if (!context_.acceptor->state() || accepted() <= ballot()) return;
-    ReplicatedState const& s = *context_.acceptor->state();
-    auto on_disk = [&](Member const& x) {
-      if (x.ip == context_.settings.ip)
-        return durable_ >= s.ballot && x.incarnation == context_.acceptor->incarnation();
-      auto const it = context_.controllers.find(x.ip);
-      return it != context_.controllers.end() && it->second.incarnation == x.incarnation &&
-             it->second.accepted == s.ballot;
-    };
-    if (s.stands(on_disk)) learn(ReplicatedState(s));
-  }
+  void holds(std::string const& ip, Incarnation incarnation, Ballot acc);
   // The way to a mate is up: what it missed of our round, and what we may have missed.
-  void reached(std::string const& ip, PeerLink& l) {
-    for (auto& o : proposer_.resend(ip))
-      send_out(o);
-    l.send(MessageType::catch_up_request, 0, lacks());
-  }
+  void reached(std::string const& ip, PeerLink& l);
   // A mate has the value of b in force.
-  void ahead(PeerController& m, Ballot b, Seconds now) {
-    if (b <= ballot()) return;
-    if (context_.acceptor->state() && context_.acceptor->state()->ballot == b) {
-      learn(*context_.acceptor->state());
-    } else if (now - m.pulled > 0.25 && now - piece_at_ > 1.0) {
-      m.pulled = now;
-      m.link->send(MessageType::catch_up_request, 0, lacks());
-    }
-  }
+  void ahead(PeerController& m, Ballot b, Seconds now);
   // A piece of the value in force at a mate; the next is asked of the same one.
-  void piece(std::string const& ip, StateChunk const& x, Seconds now) {
-    if (x.part.ballot <= ballot()) return;
-    check_ballot(x.part.ballot);
-    ChunkAssembler::Took const t = gather_.take(x);
-    if (t.whole) check_value(*t.whole);
-    if (t.whole) return learn(*t.whole);
-    if (!t.used) return;
-    piece_at_ = now;
-    if (context_.controllers.count(ip) > 0 && context_.controllers[ip].link)
-      context_.controllers[ip].link->send(MessageType::catch_up_request, 0, lacks());
-  }
-  void on_prep(std::string const& ip, PrepareResponse const& r) {
-    patience_.answered(ip, steady_now());
-    outs(proposer_.on_prep(ip, r));
-  }
-  void on_acc(std::string const& ip, AcceptResponse const& r) {
-    patience_.answered(ip, steady_now());
-    outs(proposer_.on_acc(ip, r));
-  }
-  void prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now) {
-    if (!context_.born) return;
-    PrepareResponse r;
-    Acceptor::PendingWrite s = context_.acceptor->prepare(q, r);
-    if (r.ok) give_way(r.ballot, now);
-    reply_after(p.ch, MessageType::prepare_response, tag, r, std::move(s));
-  }
-  void acc(InboundSession& p, u32 tag, AcceptRequest const& a) {
-    if (!context_.born) return;
-    AcceptResponse r;
-    Acceptor::PendingWrite s = context_.acceptor->accept(a, r);
-    reply_after(p.ch, MessageType::accept_response, tag, r, std::move(s));
-  }
-  void pull(InboundSession& p, CatchUpRequest const& q) {
-    if (!context_.committed) return;
-    Ballot const have = q.have;
-    if (p.hello.role == 2) {
-      if (context_.view.ballot > have || context_.view.ballot.v == 0) p.ch->send(lacking(have));
-      return;
-    }
-    if (context_.committed->ballot < q.won ||
-        (context_.committed->ballot == q.won && context_.committed->ballot.v != 0))
-      return;
-    CommitNotice c;
-    c.ballot = context_.committed->ballot;
-    // Who holds this value needs to hear only that it was won.
-    if (have != c.ballot || have == Ballot(0)) {
-      std::optional<StateDelta> const d = accepted() == c.ballot ? context_.acceptor->since(have) : std::nullopt;
-      if (d) {
-        c.delta = codec::pack(*d);
-      } else {
-        auto const since = [&](Ballot b) {
-          return accepted() == c.ballot ? context_.acceptor->since(b) : std::nullopt;
-        };
-        RowChecksum const sum =
-            accepted() == c.ballot ? context_.acceptor->sum() : rows_between(nullptr, *context_.committed).sum;
-        StateChunk const x = piece_of(*context_.committed, sum, q.part, q.after, since, piece_bytes);
-        if (x.base != Ballot(0) || !x.last) {
-          p.ch->send(MessageType::state_chunk, 0, x);
-          return;
-        }
-        c.state = codec::pack(*context_.committed);
-      }
-    }
-    p.ch->send(MessageType::catch_up_response, 0, c);
-  }
+  void piece(std::string const& ip, StateChunk const& x, Seconds now);
+  void on_prep(std::string const& ip, PrepareResponse const& r);
+  void on_acc(std::string const& ip, AcceptResponse const& r);
+  void prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now);
+  void acc(InboundSession& p, u32 tag, AcceptRequest const& a);
+  void pull(InboundSession& p, CatchUpRequest const& q);
   // What a node that has the view of `have` lacks of ours.
-  EncodedMessage lacking(Ballot have) {
-    bool const some = have.v != 0 && have >= changed_since_ && have < context_.view.ballot;
-    // After a loss of power everybody lacks all of it: it is made ready once.
-    if (!some && whole_of_ == context_.view.ballot && !whole_.empty()) return whole_;
-    CommitNotice c;
-    c.ballot = context_.view.ballot;
-    if (some) {
-      StateDelta d;
-      d.base = have;
-      d.ballot = d.open = context_.view.ballot;
-      d.epoch = context_.view.epoch;
-      for (ConfigItem const& i : context_.view.items)
-        if (auto const it = changed_.find(i.key); it != changed_.end() && it->second > have) d.items.push_back(i);
-      d.evacuations_set = d.membership_set = d.duties_set = true;
-      d.evacuations = context_.view.evacuations;
-      d.membership = context_.view.membership;
-      d.duties = context_.view.duties;
-      d.to_fix = context_.view.to_fix;
-      c.delta = codec::pack(d);
-    } else {
-      c.state = codec::pack(context_.view);
-    }
-    EncodedMessage p = encode_message(MessageType::catch_up_response, codec::pack(c));
-    if (!some) {
-      whole_ = p;
-      whole_of_ = context_.view.ballot;
-    }
-    return p;
-  }
+  EncodedMessage lacking(Ballot have);
 
-  void commit(CommitNotice const& c, std::string const& from) {
-    if (c.ballot <= ballot()) return;
-    if (!c.state.empty()) {
-      ReplicatedState const s = read_state(c.state);
-      if (s.ballot != c.ballot) throw codec::MalformedMessage("a value under another ballot");
-      learn(s);
-      return;
-    }
-    if (context_.acceptor->state() && context_.acceptor->state()->ballot == c.ballot) {
-      learn(*context_.acceptor->state());
-      return;
-    }
-    if (!c.delta.empty()) {
-      StateDelta const d = read_delta(c.delta);
-      ReplicatedState const* const base = d.base == ballot() && context_.committed ? &*context_.committed
-                                          : d.base == accepted() && context_.acceptor->state()
-                                              ? &*context_.acceptor->state()
-                                              : nullptr;
-      if (base != nullptr) {
-        ReplicatedState s = *base;
-        apply(s, d);
-        learn(s);
-        return;
-      }
-    }
-    if (context_.controllers.count(from) > 0 && context_.controllers[from].link)
-      context_.controllers[from].link->send(MessageType::catch_up_request, 0, lacks());
-  }
+  void commit(CommitNotice const& c, std::string const& from);
 
   // ---- time --------------------------------------------------------------------------
-  void begin(Seconds now) { finish_at_ = now + 0.2 + 0.6 * random01(); }
-  void tick(Seconds now) {
-    if (!proposer_.idle() && now - proposer_.since() > round_patience()) {
-      proposer_.abandon();
-      std::vector<Call> b;
-      b.swap(batch_);
-      for (auto it = b.rbegin(); it != b.rend(); ++it)
-        calls_.push_front(std::move(*it));
-    }
-    pump();
-  }
+  void begin(Seconds now);
+  void tick(Seconds now);
   // A value accepted but not known to be committed is brought to an end.
-  void finish(Seconds now) {
-    if (context_.acceptor->state() && (!context_.committed || accepted() > ballot())) {
-      if (finish_at_ == 0) finish_at_ = now + 0.8 + 0.8 * random01();
-      if (now > finish_at_ && calls_.empty() && proposer_.idle()) {
-        finish_at_ = now + 1.0 + random01();
-        submit([](ReplicatedState&) { return false; }, [](ReplicatedState const*) {}, 1.5);
-      }
-    } else {
-      finish_at_ = 0;
-    }
-  }
+  void finish(Seconds now);
 
  private:
   static std::size_t constexpr piece_bytes = 256 * 1024;
@@ -297,14 +72,10 @@
     Seconds until = 0;
   };
 
-  CatchUpRequest lacks() const {
-    return CatchUpRequest{best() != nullptr ? best()->ballot : Ballot(), ballot(), gather_.have(), gather_.after()};
-  }
+  CatchUpRequest lacks() const;
 
   // Our vote as it is now, with what it changed of the value.
-  void vote(std::vector<StateRow> rows, std::function<void(bool)> done) {
-    writer_->write(context_.acceptor->head(), std::move(rows), std::move(done));
-  }
+  void vote(std::vector<StateRow> rows, std::function<void(bool)> done);
 
   template <class R>
   void reply_after(ConnectionPtr const& ch, MessageType k, u32 tag, R const& r, Acceptor::PendingWrite s) {
@@ -320,180 +91,30 @@
     });
   }
 
-  ReplicatedState const* best() const {
-    ReplicatedState const* b = context_.committed ? &*context_.committed : nullptr;
-    if (context_.acceptor->state() && (b == nullptr || context_.acceptor->state()->ballot > b->ballot))
-      b = &*context_.acceptor->state();
-    return b;
-  }
+  ReplicatedState const* best() const;
 
   // Another's round is under way: two that outbid each other would both be late.
   // The wait is only courtesy; safety never rests on it.
-  void give_way(Ballot b, Seconds now) {
-    way_for_ = b;
-    way_until_ = now + 0.4 + 0.2 * random01();
-  }
+  void give_way(Ballot b, Seconds now);
 
-  void pump() {
-    Seconds const now = steady_now();
-    if (!proposer_.idle() || now < next_round_ || now < way_until_ || !context_.born) return;
-    while (!calls_.empty() && calls_.front().until < now) {
-      Call const c = std::move(calls_.front());
-      calls_.pop_front();
-      c.done(nullptr);
-    }
-    ReplicatedState const* b = best();
-    if (calls_.empty() || b == nullptr) return;
-    batch_.clear();
-    while (!calls_.empty()) {
-      batch_.push_back(std::move(calls_.front()));
-      calls_.pop_front();
-    }
-    proposer_.saw(context_.acceptor->promised());
-    patience_.begin();
-    outs(proposer_.begin(
-        *b,
-        [this](ReplicatedState& s) {
-          bool any = false;
-          for (Call& c : batch_)
-            any = c.change(s) || any;
-          return any;
-        },
-        now, context_.committed ? std::optional<Epoch>(context_.committed->epoch) : std::nullopt));
-  }
+  void pump();
 
-  Seconds round_patience() const {
-    std::vector<std::string> v;
-    for (Member const& m : proposer_.base().membership)
-      if (m.ip != context_.settings.ip) v.push_back(m.ip);
-    return patience_.of(v);
-  }
+  Seconds round_patience() const;
 
-  void outs(std::vector<Proposer::Out> const& v) {
-    for (auto const& o : v)
-      send_out(o);
-    round_over();
-  }
+  void outs(std::vector<Proposer::Out> const& v);
 
-  void send_out(Proposer::Out const& o) {
-    if (o.ip == context_.settings.ip) {
-      if (!context_.born) return;
-      if (o.is_prep) {
-        PrepareResponse r;
-        Acceptor::PendingWrite s = context_.acceptor->prepare(o.prep, r);
-        if (!s.write) {
-          after(context_.loop, 0, [this, r] { outs(proposer_.on_prep(context_.settings.ip, r)); });
-          return;
-        }
-        vote(std::move(s.rows), [this, r](bool ok) {
-          if (ok) outs(proposer_.on_prep(context_.settings.ip, r));
-        });
-      } else {
-        AcceptResponse r;
-        Acceptor::PendingWrite s = context_.acceptor->accept(o.acc, r);
-        if (!s.write) {
-          after(context_.loop, 0, [this, r] { outs(proposer_.on_acc(context_.settings.ip, r)); });
-          return;
-        }
-        vote(std::move(s.rows), [this, r, b = accepted()](bool ok) {
-          if (!ok) return;
-          durable_ = std::max(durable_, b);
-          outs(proposer_.on_acc(context_.settings.ip, r));
-        });
-      }
-      return;
-    }
-    PeerController& m = context_.controller(o.ip);
-    if (!m.link) return;
-    patience_.asked(o.ip, o.acc.state.size() + o.acc.delta.size(), steady_now());
-    if (o.is_prep)
-      m.link->send(MessageType::prepare_request, 0, o.prep);
-    else
-      m.link->send(MessageType::accept_request, 0, o.acc);
-  }
+  void send_out(Proposer::Out const& o);
 
-  void round_over() {
-    if (!proposer_.done() || batch_.empty()) return;
-    std::vector<Call> b;
-    b.swap(batch_);
-    Seconds const now = steady_now();
-    if (proposer_.won()) {
-      ReplicatedState const from = proposer_.base();
-      ReplicatedState const to = proposer_.value();
-      losses_ = 0;
-      CommitNotice c;
-      c.ballot = to.ballot;
-      c.delta = proposer_.delta().empty() ? codec::pack(delta_of(from, to)) : proposer_.delta();
-      EncodedMessage const pc = encode_message(MessageType::commit_notice, codec::pack(c));
-      for (auto& [ip, m] : context_.controllers)
-        if (m.link) m.link->send(pc);
-      learn(to);
-      if (proposer_.changed())
-        for (Call& x : b)
-          x.done(&to);
-      else  // another's step of the roster was brought to its end first
-        for (auto it = b.rbegin(); it != b.rend(); ++it)
-          calls_.push_front(std::move(*it));
-    } else {
-      ++losses_;
-      next_round_ = now + (0.05 + 0.15 * random01()) * std::min(losses_, 6);
-      for (auto it = b.rbegin(); it != b.rend(); ++it)
-        calls_.push_front(std::move(*it));
-    }
-    after(context_.loop, std::max(0.0, next_round_ - now), [this] { pump(); });
-  }
+  void round_over();
 
   // Takes a committed value: in force from now on.
-  void learn(ReplicatedState const& s) {
-    if (context_.committed && s.ballot <= context_.committed->ballot) return;
-    std::optional<ReplicatedState> const old = std::move(context_.committed);
-    context_.committed = s;
-    proposer_.saw(s.ballot);
-    if (s.ballot >= way_for_ && way_until_ > 0) {
-      way_until_ = 0;
-      after(context_.loop, 0.02 * random01(), [this] { pump(); });
-    }
-    if (Acceptor::PendingWrite w = context_.acceptor->learn(s))
-      vote(std::move(w.rows), [this, b = s.ballot](bool ok) {
-        if (ok) durable_ = std::max(durable_, b);
-      });
-    for (Member const& m : s.membership)
-      context_.controller(m.ip);
-    show(old ? &*old : nullptr, s);
-    bool const moved = !old || old->epoch != s.epoch;
-    if (moved) LOG4CPLUS_INFO(logger_, "Roster of " << s.membership.size() << ".");
-    on_value.emit(moved);
-  }
+  void learn(ReplicatedState const& s);
 
   // Tells the nodes we feed what they go by, if it changed, and remembers when each
   // item did, so that who missed some gets just those.
-  void show(ReplicatedState const* old, ReplicatedState const& s) {
-    if (old != nullptr && s.open == context_.view.ballot && context_.view.ballot.v != 0) return;
-    ReplicatedState const was = std::move(context_.view);
-    context_.view = view_of(s);
-    on_view.emit();
-    StateUpdate n;
-    if (old == nullptr) {
-      changed_since_ = context_.view.ballot;
-      n.state = codec::pack(context_.view);
-      for (ConfigItem const& i : context_.view.items)
-        see_partner(i);
-    } else {
-      StateDelta const d = delta_of(was, context_.view);
-      for (ConfigItem const& i : d.items) {
-        changed_[i.key] = context_.view.ballot;
-        see_partner(i);
-      }
-      n.delta = codec::pack(d);
-    }
-    EncodedMessage const pc = encode_message(MessageType::state_update, codec::pack(n));
-    for (auto& [id, p] : context_.sessions)
-      if (p.feeding) p.ch->send(pc);
-  }
+  void show(ReplicatedState const* old, ReplicatedState const& s);
 
-  void see_partner(ConfigItem const& i) {
-    if (i.key[0] == 'c') context_.tenants.put(i);
-  }
+  void see_partner(ConfigItem const& i);
 
   ControllerContext& context_;
   Proposer proposer_;
--- a/packages/controller/include/controller/registry_service.hpp
+++ b/packages/controller/include/controller/registry_service.hpp
@@ -7,222 +7,42 @@
 
 class RegistryService {
  public:
-  explicit RegistryService(ControllerContext& h) : context_(h) {}
+  explicit RegistryService(ControllerContext& h);
 
   // News of servers goes to the proxies we feed and to a few mates; whoever finds
   // it new passes it on.
-  void spread(std::vector<ServerRecord> const& v, std::string const& from) {
-    if (v.empty()) return;
-    // On disk too, so that after a loss of all power the servers are known before
-    // their next beats. Nobody waits for it: the beats set right what it lacks.
-    std::vector<AsyncStore::Op> ops;
-    for (ServerRecord const& r : v) {
-      AsyncStore::Op o;
-      o.what = r.state == ServerState::gone ? AsyncStore::Op::What::drop_row : AsyncStore::Op::What::put_row;
-      o.k = r.id;
-      if (r.state != ServerState::gone) o.v = codec::pack(r);
-      ops.push_back(std::move(o));
-    }
-    context_.disk->submit_lazy(std::move(ops));
-    for (ServerRecord const& r : v)
-      pending_[r.id] = from;
-    if (flushing_) return;
-    flushing_ = true;
-    // Changes that come together go out together.
-    after(context_.loop, 0.04, [this] { flush_rows(); });
-  }
+  void spread(std::vector<ServerRecord> const& v, std::string const& from);
 
-  void rows(std::vector<ServerRecord> const& v, std::string const& from) {
-    Seconds const now = steady_now();
-    std::vector<ServerRecord> news, back;
-    for (ServerRecord r : v) {
-      drained(r);
-      if (roll_.join(r, now))
-        news.push_back(*roll_.get(r.id, now));
-      else if (auto const mine = roll_.get(r.id, now); mine && mine->seq > r.seq && mine->state != r.state)
-        back.push_back(*mine);
-    }
-    spread(news, from);
-    auto const it = context_.controllers.find(from);
-    if (!back.empty() && it != context_.controllers.end() && it->second.link) spread_to(*it->second.link, back);
-  }
+  void rows(std::vector<ServerRecord> const& v, std::string const& from);
 
   // Out of contact a beat is heard, so that the server keeps its place where no node is in
   // contact, but not acknowledged: the acknowledgement of a drain binds nodes that we can't tell.
-  ApiResponse heartbeat(std::string const& id, schema::Heartbeat const& b, std::string const& uri) {
-    if (id.empty()) return error_response(400, "id: empty");
-    if (b.state != "ready" && b.state != "draining") return error_response(400, "state: neither ready nor draining");
-    if (b.service.empty()) return error_response(400, "service: empty");
-    if (b.capacity < 0) return error_response(400, "capacity: negative");
-    for (auto const& [s, f] : {std::pair{&id, "id"}, {&b.service, "service"}, {&b.zone, "zone"}})
-      if (has_control(*s)) return error_response(400, std::string(f) + ": holds a control character");
-    try {
-      parse_addr(b.address, "address");
-    } catch (SettingsError const& e) {
-      return error_response(400, e.what());
-    }
-    ServerRecord r;
-    r.id = id;
-    r.service = b.service;
-    r.address = b.address;
-    r.zone = b.zone;
-    r.capacity = b.capacity;
-    r.state = b.state == "ready" ? ServerState::ready : ServerState::draining;
-    r.seq = b.callSeq;
-    r.cold_left = std::clamp(b.coldLeftS.value_or(0), 0.0, 1e9);
-    r.generation = b.generation.value_or("");
-    drained(r);
-    Seconds const now = steady_now();
-    if (roll_.beat(r, context_.settings.ip, now)) spread({*roll_.get(id, now)}, "");
-    if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
-    schema::HeartbeatResponse ret;
-    std::string const t = beat_target(b.zone);
-    if (!t.empty()) ret.beatTarget = t;
-    return {200, json::render(ret)};
-  }
+  ApiResponse heartbeat(std::string const& id, schema::Heartbeat const& b, std::string const& uri);
 
-  ApiResponse leave(std::string const& id, std::string const& uri) {
-    if (id.empty()) return error_response(400, "id: empty");
-    Seconds const now = steady_now();
-    auto cur = roll_.get(id, now);
-    ServerRecord r;
-    if (cur) r = *cur;
-    r.id = id;
-    r.state = ServerState::gone;
-    r.seq = kDepartedSequence;
-    if (roll_.join(r, now)) spread({r}, "");
-    if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
-    return {200, "{}"};
-  }
+  ApiResponse leave(std::string const& id, std::string const& uri);
 
   // The whole roll, for who begins to be fed. After a loss of power everybody asks: it is made
   // ready once a second at most, and what changed since goes after it.
-  void feed(Connection& ch, Seconds now) {
-    // Out of contact it may lack servers: what it lacks stays with who has it.
-    if (whole_.empty() || now - whole_at_ > 1.0 || whole_in_contact_ != context_.in_contact()) {
-      StateUpdate n;
-      n.rows_full = whole_in_contact_ = context_.in_contact();
-      n.rows = roll_.all(now);
-      whole_ = encode_message(MessageType::state_update, codec::pack(n));
-      whole_at_ = now;
-    }
-    ch.send(whole_);
-    StateUpdate since;
-    since.rows = roll_.changed_since(whole_at_, now);
-    if (now > whole_at_ && !since.rows.empty()) ch.send(MessageType::state_update, 0, since);
-  }
+  void feed(Connection& ch, Seconds now);
 
   // The operator's order binds whatever the server says of itself. Every directory applies it
   // to its own rows as soon as it learns of it, so that nobody waits for the rows' owners.
-  void orders_changed() {
-    Seconds const now = steady_now();
-    std::vector<ServerRecord> news;
-    for (auto const& [name, u] : context_.out) {
-      auto const e = roll_.get(name, now);
-      if (!e || e->state != ServerState::ready) continue;
-      ServerRecord r = *e;
-      r.state = ServerState::draining;
-      if (roll_.join(r, now)) news.push_back(std::move(r));
-    }
-    spread(news, "");
-  }
+  void orders_changed();
 
   // To a mate whose roll differs from ours, or that may have begun anew.
-  void spread_all(PeerLink& l) { spread_to(l, roll_.all(steady_now())); }
-  void tick(Seconds now) {
-    spread(roll_.expire(context_.settings.ip, 3 * context_.settings.beatPeriodS, now), "");
-    for (auto& [ip, m] : context_.controllers)
-      if (m.link && m.heard > 0 && now - m.heard > 12) {
-        std::vector<ServerRecord> const gone = roll_.expire_of(ip, now);
-        m.heard = now;
-        spread(gone, ip);
-      }
-  }
-  ServerRegistry& roll() { return roll_; }
-  ServerRegistry const& roll() const { return roll_; }
-  u64 told_digest() const { return told_digest_; }  // of the roll as others were told of it
+  void spread_all(PeerLink& l);
+  void tick(Seconds now);
+  ServerRegistry& roll();
+  ServerRegistry const& roll() const;
+  u64 told_digest() const;  // of the roll as others were told of it
 
  private:
-  void drained(ServerRecord& r) const {
-    if (r.state == ServerState::ready && context_.out.count(r.id) > 0) r.state = ServerState::draining;
-  }
-  void spread_to(PeerLink& l, std::vector<ServerRecord> const& v) {
-    if (v.empty()) return;
-    StateUpdate n;
-    n.rows = v;
-    l.send(MessageType::server_records, 0, n);
-  }
+  void drained(ServerRecord& r) const;
+  void spread_to(PeerLink& l, std::vector<ServerRecord> const& v);
 
-  void flush_rows() {
-    flushing_ = false;
-    Seconds const now = steady_now();
-    bool const many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
-    // all: for those we feed. home: for the mates of our region, or for every mate if they are
-    // few. abroad: begun here, for two mates in each other region. back: heard from a near mate;
-    // one copy goes abroad, so that no single mate is what a region hangs on.
-    StateUpdate all, home, abroad, back;
-    for (auto const& [id, from] : pending_) {
-      auto r = roll_.get(id, now);
-      if (!r) continue;
-      bool const near = !from.empty() && context_.is_near(from);
-      if (many) {
-        if (!near) home.rows.push_back(*r);
-        if (from.empty())
-          abroad.rows.push_back(*r);
-        else if (near)
-          back.rows.push_back(*r);
-      } else if (from.empty()) {  // with few mates the first teller reached everyone itself
-        home.rows.push_back(*r);
-      }
-      all.rows.push_back(std::move(*r));
-    }
-    pending_.clear();
-    told_digest_ = roll_.digest();
-    if (all.rows.empty()) return;
-    EncodedMessage const pc = encode_message(MessageType::state_update, codec::pack(all));
-    for (auto& [id, p] : context_.sessions)
-      if (p.feeding) p.ch->send(pc);
-    std::vector<PeerLink*> near;
-    std::map<std::string, std::vector<PeerLink*>> far;
-    for (auto& [ip, m] : context_.controllers)
-      if (m.link && m.link->up()) {
-        if (!many || context_.is_near(ip))
-          near.push_back(m.link.get());
-        else
-          far[context_.region_of_controller(ip)].push_back(m.link.get());
-      }
-    auto tell = [](StateUpdate const& n, std::vector<PeerLink*> const& to) {
-      if (n.rows.empty() || to.empty()) return;
-      EncodedMessage const p = encode_message(MessageType::server_records, codec::pack(n));
-      for (PeerLink* l : to)
-        l->send(p);
-    };
-    std::vector<PeerLink*> two, one;
-    for (auto& [g, l] : far) {
-      std::swap(l[0], l[random64() % l.size()]);
-      if (l.size() > 1) std::swap(l[1], l[1 + random64() % (l.size() - 1)]);
-      two.insert(two.end(), l.begin(), l.begin() + static_cast<long>(std::min<std::size_t>(2, l.size())));
-    }
-    if (!two.empty()) one.push_back(two[random64() % two.size()]);
-    tell(home, near);
-    tell(abroad, two);
-    tell(back, one);
-  }
+  void flush_rows();
 
-  std::string beat_target(std::string const& zone) const {
-    if (!context_.committed || context_.leaving_since > 0) return "";
-    Member const* best = nullptr;
-    int best_tier = 9;
-    std::string const region = context_.settings.region_of(zone);
-    for (Member const& m : context_.committed->membership) {
-      int const t = m.zone == zone ? 0 : m.region == region ? 1 : 2;
-      if (t < 2 && t < best_tier && context_.up(m.ip) && m.control > 0) {
-        best = &m;
-        best_tier = t;
-      }
-    }
-    return best == nullptr ? std::string() : Address{best->ip, best->control}.str();
-  }
+  std::string beat_target(std::string const& zone) const;
 
   ControllerContext& context_;
   ServerRegistry roll_;
