--- a/packages/process/include/process/program.hpp
+++ b/packages/process/include/process/program.hpp
@@ -9,6 +9,7 @@
 #include <optional>
 
 #include "settings/settings.hpp"
+#include "transport/event_owners.hpp"
 #include "transport/transport.hpp"
 
 namespace dockbend {
@@ -40,7 +41,7 @@
 
  private:
   void look(bool told);
-  event *term_, *int_, *hup_;
+  EventOwner term_, int_, hup_;
   std::unique_ptr<PeriodicTimer> poll_;
   i64 seen_mtime_ = 0, seen_size_ = 0;
 };
@@ -51,7 +52,8 @@
 int run_daemon(ProgramInfo const& cli, int argc, char** argv) {
   Settings st;
   if (auto const rc = open_program(cli, argc, argv, st)) return *rc;
-  event_base* const loop = event_base_new();
+  EventBaseOwner const owner(event_base_new());  // outlives the task
+  event_base* const loop = owner.get();
   try {
     Task task(loop, st);
     ProcessSignals w(loop);
--- a/packages/process/program.cpp
+++ b/packages/process/program.cpp
@@ -102,13 +102,13 @@
 
 ProcessSignals::ProcessSignals(event_base* loop) {
   auto term = [](evutil_socket_t, short, void* p) { static_cast<ProcessSignals*>(p)->on_term.emit(); };
-  term_ = evsignal_new(loop, SIGTERM, term, this);
-  int_ = evsignal_new(loop, SIGINT, term, this);
-  hup_ = evsignal_new(
-      loop, SIGHUP, [](evutil_socket_t, short, void* p) { static_cast<ProcessSignals*>(p)->look(true); }, this);
-  event_add(term_, nullptr);
-  event_add(int_, nullptr);
-  event_add(hup_, nullptr);
+  term_.reset(evsignal_new(loop, SIGTERM, term, this));
+  int_.reset(evsignal_new(loop, SIGINT, term, this));
+  hup_.reset(evsignal_new(
+      loop, SIGHUP, [](evutil_socket_t, short, void* p) { static_cast<ProcessSignals*>(p)->look(true); }, this));
+  event_add(term_.get(), nullptr);
+  event_add(int_.get(), nullptr);
+  event_add(hup_.get(), nullptr);
   chain_term(SIGTERM, term_next);
   chain_term(SIGINT, int_next);
   struct stat sb {};
@@ -120,9 +120,9 @@
 }
 
 ProcessSignals::~ProcessSignals() {
-  event_free(term_);
-  event_free(int_);
-  event_free(hup_);
+  term_.reset();
+  int_.reset();
+  hup_.reset();
   term_flag.store(false, std::memory_order_relaxed);
 }
 
--- a/packages/transport/include/transport/transport.hpp
+++ b/packages/transport/include/transport/transport.hpp
@@ -12,6 +12,7 @@
 #include <unordered_map>
 
 #include "settings/settings.hpp"
+#include "transport/event_owners.hpp"
 #include "wire/codec.hpp"
 
 namespace dockbend {
@@ -141,7 +142,7 @@
   struct Input;
   static void read_cb(bufferevent*, void* p);
   static void event_cb(bufferevent*, short what, void* p);
-  bufferevent* bev_ = nullptr;
+  BufferedSocketOwner bev_;
   bool up_ = false, near_ = false;  // near: over loopback, where bytes cost nothing
   Seconds heard_ = 0, sent_ = 0;
   u64 id_ = 0;
@@ -152,12 +153,11 @@
 class PeriodicTimer {
  public:
   PeriodicTimer(event_base* loop, Seconds every, std::function<void()> f);
-  ~PeriodicTimer();
   PeriodicTimer(PeriodicTimer const&) = delete;
 
  private:
   std::function<void()> f_;
-  event* ev_;
+  EventOwner ev_;
 };
 
 // Runs f once after some time, at the event loop.
@@ -167,12 +167,11 @@
  public:
   sigc::signal<void(ConnectionPtr)> on_channel;
   Listener(event_base* loop, Address const& at);
-  ~Listener();
   Listener(Listener const&) = delete;
 
  private:
   event_base* loop_;
-  evconnlistener* ls_;
+  ConnectionListenerOwner ls_;
 };
 
 // Asks a relay to pass all further letters to a core node, and its answer once it can.
--- a/packages/transport/transport.cpp
+++ b/packages/transport/transport.cpp
@@ -63,11 +63,11 @@
   ConnectionPtr c(new Connection);
   c->arm(loop, -1);
   sockaddr_in sa = sa_of(to);
-  if (bufferevent_socket_connect(c->bev_, reinterpret_cast<sockaddr*>(&sa), sizeof sa) < 0) {
+  if (bufferevent_socket_connect(c->bev_.get(), reinterpret_cast<sockaddr*>(&sa), sizeof sa) < 0) {
     c->close();
     return c;
   }
-  tune_socket(bufferevent_getfd(c->bev_), 2000);
+  tune_socket(bufferevent_getfd(c->bev_.get()), 2000);
   c->near_ = to.ip.rfind("127.", 0) == 0;
   return c;
 }
@@ -85,9 +85,9 @@
 
 void Connection::arm(event_base* loop, evutil_socket_t fd) {
   id_ = next_id++;
-  bev_ = bufferevent_socket_new(loop, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-  bufferevent_setcb(bev_, read_cb, nullptr, event_cb, this);
-  bufferevent_enable(bev_, EV_READ | EV_WRITE);
+  bev_.reset(bufferevent_socket_new(loop, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  bufferevent_setcb(bev_.get(), read_cb, nullptr, event_cb, this);
+  bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   heard_ = sent_ = steady_now();
 }
 
@@ -96,10 +96,7 @@
 }
 
 void Connection::close() {
-  if (bev_ != nullptr) {
-    bufferevent_free(bev_);
-    bev_ = nullptr;
-  }
+  bev_.reset();
   up_ = false;
 }
 
@@ -122,7 +119,7 @@
   head(p.kind, tag, p.body().size());
   auto* const keep = new std::shared_ptr<std::string const>(p.bytes);
   evbuffer_add_reference(
-      bufferevent_get_output(bev_), p.body().data(), p.body().size(),
+      bufferevent_get_output(bev_.get()), p.body().data(), p.body().size(),
       [](void const*, std::size_t, void* x) { delete static_cast<std::shared_ptr<std::string const>*>(x); }, keep);
 }
 
@@ -133,13 +130,13 @@
   }
   u8 h[frame::kHeaderLength];
   frame::write_head(h, frame::Header{static_cast<u32>(n), static_cast<u8>(k), tag});
-  evbuffer_add(bufferevent_get_output(bev_), h, frame::kHeaderLength);
+  evbuffer_add(bufferevent_get_output(bev_.get()), h, frame::kHeaderLength);
   sent_ = steady_now();
 }
 
 void Connection::put(MessageType k, u32 tag, std::string_view body) {
   if (!up_) return;
-  evbuffer* const out = bufferevent_get_output(bev_);
+  evbuffer* const out = bufferevent_get_output(bev_.get());
   evbuffer_expand(out, frame::kHeaderLength + body.size());  // one piece, one packet
   head(k, tag, body.size());
   evbuffer_add(out, body.data(), body.size());
@@ -188,7 +185,7 @@
   sockaddr_in sa{};
   socklen_t len = sizeof sa;
   char from[INET_ADDRSTRLEN] = "nowhere";
-  if (bev_ != nullptr && getpeername(bufferevent_getfd(bev_), reinterpret_cast<sockaddr*>(&sa), &len) == 0)
+  if (bev_ != nullptr && getpeername(bufferevent_getfd(bev_.get()), reinterpret_cast<sockaddr*>(&sa), &len) == 0)
     inet_ntop(AF_INET, &sa.sin_addr, from, sizeof from);
   LOG4CPLUS_WARN(
       logger, "Ended a channel with " << from << ": " << why << ". " << rejected_input().channels << " such so far.");
@@ -217,7 +214,7 @@
   if ((what & BEV_EVENT_CONNECTED) != 0) {
     c->up_ = true;
     c->heard_ = steady_now();
-    tune_socket(bufferevent_getfd(c->bev_), 2000);
+    tune_socket(bufferevent_getfd(c->bev_.get()), 2000);
     c->on_up.emit(*c);
     return;
   }
@@ -225,14 +222,11 @@
 }
 
 PeriodicTimer::PeriodicTimer(event_base* loop, Seconds every, std::function<void()> f) : f_(std::move(f)) {
-  ev_ = event_new(
-      loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* p) { static_cast<PeriodicTimer*>(p)->f_(); }, this);
+  ev_.reset(event_new(
+      loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* p) { static_cast<PeriodicTimer*>(p)->f_(); }, this));
   timeval tv{static_cast<time_t>(every),
              static_cast<suseconds_t>((every - static_cast<double>(static_cast<time_t>(every))) * 1e6)};
-  event_add(ev_, &tv);
-}
-PeriodicTimer::~PeriodicTimer() {
-  event_free(ev_);
+  event_add(ev_.get(), &tv);
 }
 
 void after(event_base* loop, Seconds t, std::function<void()> f) {
@@ -250,19 +244,16 @@
 
 Listener::Listener(event_base* loop, Address const& at) : loop_(loop) {
   sockaddr_in sa = sa_of(at);
-  ls_ = evconnlistener_new_bind(
+  ls_.reset(evconnlistener_new_bind(
       loop,
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* p) {
         Listener* const d = static_cast<Listener*>(p);
         d->on_channel.emit(Connection::take(d->loop_, fd));
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 128, reinterpret_cast<sockaddr*>(&sa),
-      sizeof sa);
+      sizeof sa));
   if (ls_ == nullptr) throw std::runtime_error("can't listen at " + at.str());
 }
-Listener::~Listener() {
-  if (ls_ != nullptr) evconnlistener_free(ls_);
-}
 
 PeerLink::PeerLink(event_base* loop, Address const& to, Seconds ping_s, Seconds quiet_s)
     : loop_(loop), to_(to), ping_s_(ping_s), quiet_s_(quiet_s) {}
