--- a/packages/controller/drain_service.cpp
+++ b/packages/controller/drain_service.cpp
@@ -33,7 +33,7 @@
       nodes_.forget();
       rotation_.forget();
       heard_.clear();
-      if (hook_) hook_->reset();
+      if (hook_) hook_->cancel();
     }
     held_ = false;
     return;
@@ -273,7 +273,7 @@
 }
 
 void DrainService::call_hook(Seconds now) {
-  if (!hook_ || hook_->busy() || now < hook_at_ || !leases_.may("drain", now, 1.0)) return;
+  if (!hook_ || hook_->is_busy() || now < hook_at_ || !leases_.may("drain", now, 1.0)) return;
   for (DrainUnit const& u : context_.committed->units) {
     DrainRun const* p = context_.committed->pass(u.pass);
     if (u.stage != DrainStage::empty || p == nullptr || p->servers) continue;
@@ -282,8 +282,8 @@
         "/release/" + (u.node.empty() ? u.name : u.node),
         {{"X-Duty-Holder", context_.settings.nodeName}, {"X-Fence-Number", std::to_string(leases_.fence("drain"))}},
         "{\"pass\":\"" + std::to_string(u.pass) + "\",\"address\":\"" + u.name + "\"}", 1.0,
-        [this, u](int code, Seconds) {
-          if (code < 200 || code > 299) return;
+        [this, u](PlatformResponse const& response) {
+          if (response.status < 200 || response.status > 299) return;
           DrainActions m;
           m.moves.push_back(StageTransition{u.pass, u.name, DrainStage::empty, DrainStage::released, u.incarnation});
           bring(m);
--- a/packages/controller/include/controller/lease_service.hpp
+++ b/packages/controller/include/controller/lease_service.hpp
@@ -6,7 +6,7 @@
 #include "leases/lease_client.hpp"
 #include "leases/platform_client.hpp"
 #include "leases/usage_reporter.hpp"
-#include "quota/quota.hpp"
+#include "quota/quota_allocator.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/include/controller/rollout_service.hpp
+++ b/packages/controller/include/controller/rollout_service.hpp
@@ -4,6 +4,7 @@
 
 #include "controller/directory_service.hpp"
 #include "rollout/rollout.hpp"
+#include "rollout/rollout_messages.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/lease_service.cpp
+++ b/packages/controller/lease_service.cpp
@@ -6,15 +6,15 @@
   Settings const& st = h.settings;
   Seconds const now = steady_now();
   LeaseOptions dp;
-  dp.lease = st.bounds.leaseTermS;
+  dp.duration = st.bounds.leaseTermS;
   for (char const* d : {"usage", "allowance", "drain"})
     leases_.emplace(d, LeaseClient(d, st.nodeName, st.ip, dp, now));
   UsageReportOptions rp;
-  rp.period = st.bounds.reportPeriodS;
-  rp.settle = 0.15 * st.bounds.usageDelayS;
-  rp.late = 0.6 * st.bounds.usageDelayS;
-  rp.call = std::min(1.0, 0.35 * st.bounds.leaseTermS);
-  if (st.dutyPerS > 0) rp.gap = std::max(rp.gap, 2.0 / st.dutyPerS);
+  rp.report_period = st.bounds.reportPeriodS;
+  rp.settle_delay = 0.15 * st.bounds.usageDelayS;
+  rp.straggler_delay = 0.6 * st.bounds.usageDelayS;
+  rp.call_timeout = std::min(1.0, 0.35 * st.bounds.leaseTermS);
+  if (st.dutyPerS > 0) rp.min_call_gap = std::max(rp.min_call_gap, 2.0 / st.dutyPerS);
   reporter_ = UsageReporter(rp);
   if (st.cloud) envoy_ = std::make_unique<PlatformClient>(h.loop, *st.cloud);
 }
@@ -22,9 +22,9 @@
 void LeaseService::duties_see(Seconds now) {
   if (!context_.committed) return;
   for (auto& [n, d] : leases_) {
-    bool const had = d.holds();
-    d.seen(context_.committed->term(n), now);
-    if (had && !d.holds()) lost_duty(n);
+    bool const had = d.is_holder();
+    d.observe(context_.committed->term(n), now);
+    if (had && !d.is_holder()) lost_duty(n);
   }
   if (Lease const* t = context_.committed->term("usage"); t != nullptr && t->fence != tally_fence_) {
     tally_fence_ = t->fence;
@@ -34,29 +34,31 @@
 
 void LeaseService::duties(Seconds now) {
   for (auto& [n, d] : leases_) {
-    LeaseClient::Action const m = d.step(now, fit() && wanted(n));
+    LeaseClient::Action const m = d.next_action(now, fit() && wanted(n));
     // The one call on its way ends before the duty is handed over.
-    if (m == LeaseClient::Action::none || (m == LeaseClient::Action::hand && n == "usage" && envoy_ && envoy_->busy()))
+    if (m == LeaseClient::Action::none ||
+        (m == LeaseClient::Action::hand_over && n == "usage" && envoy_ && envoy_->is_busy()))
       continue;
-    LeaseClient::Proposal const a = d.ask(m, now);
+    LeaseClient::Proposal const a = d.propose(m, now);
     auto const ok = std::make_shared<bool>(false);
     context_.submit(
         [this, n = n, a, ok](ReplicatedState& s) {
           *ok = leases_.at(n).apply(s, a);
-          if (*ok && n == "usage" && reporter_.acked()) UsageReporter::tick_off(s, *reporter_.acked());
+          if (*ok && n == "usage" && reporter_.acknowledged_window())
+            UsageReporter::tick_off(s, *reporter_.acknowledged_window());
           return *ok;
         },
         [this, n = n, a, ok](ReplicatedState const* s) {
           Seconds const t = steady_now();
           LeaseClient& x = leases_.at(n);
-          bool const had = x.holds();
-          x.answered(a, s != nullptr && *ok, t);
-          if (!had && x.holds()) {
+          bool const had = x.is_holder();
+          x.on_result(a, s != nullptr && *ok, t);
+          if (!had && x.is_holder()) {
             LOG4CPLUS_INFO(logger_, "Duty " << n << " is ours, fence " << x.fence() << ".");
             // Leases of the lender before may still run.
             if (n == "allowance") lender_.open(t + 1.0 + context_.settings.bounds.leaseTermS * 0.1);
           }
-          if (had && !x.holds()) lost_duty(n);
+          if (had && !x.is_holder()) lost_duty(n);
         },
         1.0);
   }
@@ -70,7 +72,7 @@
   Lease const* t = context_.committed->term("usage");
   if (t == nullptr) return;
   if (t->ip == context_.settings.ip) {
-    totals_.take(false);
+    totals_.take_update(UsageRows::changed);
     return;
   }
   auto const it = context_.controllers.find(t->ip);
@@ -78,7 +80,7 @@
     tally_all_ = true;
     return;
   }
-  UsageUpdate const n = totals_.take(tally_all_);
+  UsageUpdate const n = totals_.take_update(tally_all_ ? UsageRows::all : UsageRows::changed);
   tally_all_ = false;
   if (!n.rows.empty()) it->second.link->send(MessageType::usage_update, 0, n);
 }
@@ -113,7 +115,7 @@
     TenantPtr const p = context_.tenants.tenant(tenant);
     if (!p || !p->allowance) return refuse(r, tenant, uri);
   }
-  if (!d.holds()) {
+  if (!d.is_holder()) {
     Lease const* t = context_.committed ? context_.committed->term("allowance") : nullptr;
     Member const* m = t == nullptr ? nullptr : context_.committed->member(t->ip);
     if (m == nullptr || m->ip == context_.settings.ip)
@@ -124,7 +126,7 @@
   rapidjson::StringBuffer sb;
   rapidjson::Writer<rapidjson::StringBuffer> w(sb);
   auto one = [&](std::string const& t, bool gates) {
-    QuotaAllocator::Seen const s = lender_.show(t, now);
+    QuotaAllocator::TenantStatus const s = lender_.status(t, now);
     w.StartObject();
     w.Key("tenant");
     w.String(t.c_str());
@@ -135,9 +137,9 @@
     w.Key("reserve");
     w.Double(s.rule.reserve);
     w.Key("left");
-    w.Double(std::floor(s.level));
+    w.Double(std::floor(s.available));
     w.Key("lent");
-    w.Double(s.lent);
+    w.Double(s.leased);
     w.Key("spent");
     w.Uint64(s.spent);
     w.Key("refused");
@@ -145,7 +147,7 @@
     if (gates) {
       w.Key("gateways");
       w.StartArray();
-      for (auto const& [f, n] : s.lent_by) {
+      for (auto const& [f, n] : s.leased_by_address) {
         w.StartObject();
         w.Key("address");
         w.String(f.c_str());
@@ -180,7 +182,7 @@
 }
 
 void LeaseService::tick(Seconds now) {
-  clock_.own(now, wall_clock_now());
+  clock_.on_own_reading(now, wall_clock_now());
   duties(now);
   answer_orders(now);
   pass_tally(now);
@@ -194,7 +196,7 @@
 bool LeaseService::handing() const {
   bool x = false;
   for (auto const& [n, d] : leases_)
-    x = x || d.handing();
+    x = x || d.is_handing_over();
   return x;
 }
 
@@ -207,27 +209,27 @@
 }
 
 void LeaseService::controller_clock(std::string const& ip, Seconds steady, WallSeconds said) {
-  clock_.peer_reading(ip, steady, said);
+  clock_.on_peer_reading(ip, steady, said);
 }
 
 void LeaseService::join(UsageUpdate const& n) {
   for (UsageRow const& r : n.rows)
-    totals_.join(r);
+    totals_.merge(r);
 }
 
 void LeaseService::reported_to(u64 window) {
-  totals_.forget(UsageWindow(window));
+  totals_.forget_before(UsageWindow(window));
 }
 
 bool LeaseService::fit_at_once() const {
-  return fit() && leases_.at("usage").free(steady_now());
+  return fit() && leases_.at("usage").could_act_at_once(steady_now());
 }
 
 void LeaseService::lend_to(Connection& ch, u32 tag, QuotaLeaseRequest const& a, Seconds now) {
   QuotaLeaseResponse r;
   r.incarnation = a.incarnation;
   r.seq = a.seq;
-  if (leases_.at("allowance").may_act(now, 0)) r = lender_.ask(a, now);
+  if (leases_.at("allowance").may_act(now, 0)) r = lender_.grant(a, now);
   ch.send(MessageType::quota_lease_response, tag, r);
 }
 
@@ -238,7 +240,7 @@
   if (!in_touch) return "no such node in touch: " + o.node;
   Lease const* t = context_.committed ? context_.committed->term(o.duty) : nullptr;
   if (t == nullptr) return "nobody has the duty yet";
-  if (LeaseClient& d = leases_.at(o.duty); d.hand_over(o.node) || d.handing()) return "";
+  if (LeaseClient& d = leases_.at(o.duty); d.hand_over(o.node) || d.is_handing_over()) return "";
   if (t->ip == context_.settings.ip || !context_.up(t->ip)) return "its holder is not in touch";
   HandOverCommand c;
   c.duty = o.duty;
@@ -317,48 +319,51 @@
 void LeaseService::lost_duty(std::string const& n) {
   LOG4CPLUS_INFO(logger_, "Duty " << n << " is no longer ours.");
   if (n == "usage") {
-    if (envoy_) envoy_->reset();
-    reporter_.forget();
+    if (envoy_) envoy_->cancel();
+    reporter_.on_role_lost();
   } else if (n == "allowance") {
-    lender_.open(1e18);
+    lender_.close();
   }
 }
 
 void LeaseService::report(Seconds now) {
   LeaseClient& d = leases_.at("usage");
-  if (!d.holds() || !context_.committed || !envoy_) return;
-  if (auto const f = reporter_.to_fix(*context_.committed, totals_, clock_.at(now), now, now - d.since())) {
+  if (!d.is_holder() || !context_.committed || !envoy_) return;
+  if (auto const f = reporter_.report_to_freeze(*context_.committed, totals_, clock_.wall_time_at(now), now,
+                                                now - d.holder_since())) {
     context_.submit(
         [this, f = *f, fence = d.fence()](ReplicatedState& s) {
           // Only the holder of the day fixes a body: it has everybody's counts.
           Lease const* t = s.term("usage");
           if (t == nullptr || t->fence != fence || t->holder != context_.settings.nodeName) return false;
-          bool const ticked = reporter_.acked() && UsageReporter::tick_off(s, *reporter_.acked());
-          return UsageReporter::fix(s, f) || ticked;
+          bool const ticked =
+              reporter_.acknowledged_window() && UsageReporter::tick_off(s, *reporter_.acknowledged_window());
+          return UsageReporter::freeze(s, f) || ticked;
         },
         [](ReplicatedState const*) {}, 1.0);
   }
-  auto const s = reporter_.to_send(*context_.committed, now);
-  if (!s || !d.may_act(now, reporter_.call_s())) return;
-  reporter_.sent(now);
+  auto const s = reporter_.report_to_send(*context_.committed, now);
+  if (!s || !d.may_act(now, reporter_.call_timeout())) return;
+  reporter_.on_sent(now);
   envoy_->post("/usage", {{"X-Duty-Holder", context_.settings.nodeName}, {"X-Fence-Number", std::to_string(d.fence())}},
-               s->body, reporter_.call_s(), [this, w = s->window](int code, Seconds wait) {
-                 reporter_.answered(w, code, wait, steady_now());
-                 if (code != 200) LOG4CPLUS_INFO(logger_, "Window " << w << " got " << code << ".");
+               s->body, reporter_.call_timeout(), [this, w = s->window](PlatformResponse const& response) {
+                 reporter_.on_response(w, response, steady_now());
+                 if (response.status != 200)
+                   LOG4CPLUS_INFO(logger_, "Window " << w << " got " << response.status << ".");
                });
 }
 
 void LeaseService::lend_rules(Seconds now) {
-  if (!leases_.at("allowance").holds()) return;
+  if (!leases_.at("allowance").is_holder()) return;
   double const n = directory_service_.proxies();
   for (std::string const& t : lender_.tenants()) {
     TenantPtr const p = context_.tenants.tenant(t);
-    if (!p || !p->allowance) lender_.drop(t);
+    if (!p || !p->allowance) lender_.remove_tenant(t);
   }
   for (TenantPtr const& t : context_.tenants.tenants())
     if (t->allowance)
-      lender_.rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)}, n,
-                   now);
+      lender_.set_rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)},
+                       n, now);
 }
 
 }  // namespace dockbend
--- a/packages/controller/rollout_service.cpp
+++ b/packages/controller/rollout_service.cpp
@@ -60,8 +60,8 @@
   if (text.empty() || *end != '\0') return context_.write(r, error_response(400, "id: wants a number"));
   if (auto const it = rollouts_.find(id); it != rollouts_.end()) {
     Seconds const now = steady_now();
-    if (!it->second.ro.heed(o, now))
-      return context_.write(r, error_response(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
+    if (!it->second.ro.apply_command(o, now))
+      return context_.write(r, error_response(409, std::string("rollout is ") + phase_name(it->second.ro.phase())));
     stage_on(it->second, now);
     return context_.write(r, ApiResponse{200, "{}"});
   }
@@ -95,7 +95,7 @@
     w.Key("id");
     w.String(std::to_string(id).c_str());
     w.Key("state");
-    w.String(phase_str(n.phase));
+    w.String(phase_name(n.phase));
     w.Key("stage");
     w.String((std::to_string(n.stage) + "/" + std::to_string(n.stages)).c_str());
     w.Key("holding");
@@ -126,14 +126,14 @@
       context_.controller(f->second.first).link->send(MessageType::stage_response, 0, r);
     return;
   }
-  it->second.ro.heard(r.front, r.holds);
+  it->second.ro.on_stage_response(r.front, r.holds);
   if (!is_over(it->second.ro.phase())) stage_on(it->second, now);
 }
 
 void RolloutService::lost_channel(u64 id) {
   for (auto& [rid, g] : rollouts_)
     for (auto const& [f, s] : directory_service_.catalog().rows())
-      if (s.channel == id) g.ro.lost(f);
+      if (s.channel == id) g.ro.on_proxy_lost(f);
 }
 
 void RolloutService::forget(Seconds now) {
@@ -170,29 +170,29 @@
   if (context_.committed && !is_over(g.ro.phase()) && g.ro.phase() != RolloutPhase::committing) {
     if (g.seen != ballot()) {
       g.seen = ballot();
-      if (!brings_news(context_.committed->items, g.o.asked())) g.ro.overtaken();
+      if (!brings_news(context_.committed->items, g.o.asked())) g.ro.on_overtaken();
     }
   }
-  Rollout::Actions const st = g.ro.step(now, in_touch(now));
-  if (!st.send.empty()) {
+  Rollout::Actions const st = g.ro.advance(now, in_touch(now));
+  if (!st.stage_on.empty()) {
     StageRequest h;
     h.id = g.ro.id();
-    h.for_ms = static_cast<u32>((g.ro.until() - now + 1.0) * 1000);
+    h.for_ms = static_cast<u32>((g.ro.falls_back_at() - now + 1.0) * 1000);
     h.items = g.o.asked().items;
-    to_sites(st.send, h);
+    to_sites(st.stage_on, h);
   }
-  if (st.drop) {
+  if (st.withdraw) {
     StageRequest h;
     h.id = g.ro.id();
     h.drop = true;
-    to_sites({g.ro.asked().begin(), g.ro.asked().end()}, h);
+    to_sites({g.ro.asked_proxies().begin(), g.ro.asked_proxies().end()}, h);
   }
   if (st.commit) {
     u64 const id = g.ro.id();
     carry(context_.submit, g.o, context_.patience(), [this, id](CommandResult const& o) {
       auto const it = rollouts_.find(id);
       if (it == rollouts_.end()) return;
-      it->second.ro.committed(o.ruling == CommandStatus::taken);
+      it->second.ro.on_commit_result(o.ruling == CommandStatus::taken);
       answer_rollout(it->second, answer_of(o));
       stage_on(it->second, steady_now());
     });
@@ -208,9 +208,9 @@
   }
   if (p != g.told || g.ro.stage() != g.told_stage) {
     if (p != g.told && p != RolloutPhase::holding && p != RolloutPhase::committing)
-      LOG4CPLUS_INFO(logger_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1
-                                         << " of " << g.ro.stages() << ", " << g.ro.holding() << " hold it, "
-                                         << g.ro.wanted() << " are enough.");
+      LOG4CPLUS_INFO(logger_, "Rollout " << g.ro.id() << " " << phase_name(p) << " at stage " << g.ro.stage() + 1
+                                         << " of " << g.ro.stage_count() << ", " << g.ro.staged_proxies()
+                                         << " hold it, " << g.ro.required_proxies() << " are enough.");
     g.told = p;
     g.told_stage = g.ro.stage();
     RolloutStatusNotice const n = note_of(g, now);
@@ -252,9 +252,9 @@
   n.at = context_.settings.ip;
   n.phase = g.ro.phase();
   n.stage = static_cast<u32>(g.ro.stage() + 1);
-  n.stages = static_cast<u32>(g.ro.stages());
-  n.wanted = static_cast<u32>(g.ro.wanted());
-  n.holding = static_cast<u32>(g.ro.holding());
+  n.stages = static_cast<u32>(g.ro.stage_count());
+  n.wanted = static_cast<u32>(g.ro.required_proxies());
+  n.holding = static_cast<u32>(g.ro.staged_proxies());
   n.age = now - g.start;
   for (ConfigItem const& i : g.o.asked().items)
     n.items.push_back(i.key + "@" + json::gen_str(i.gen));
--- a/packages/leases/platform_client.cpp
+++ b/packages/leases/platform_client.cpp
@@ -9,18 +9,12 @@
 #include <cstdlib>
 #include <utility>
 
+#include "transport/event_owners.hpp"
 #include "transport/transport.hpp"
 
 namespace dockbend {
 namespace {
 
-struct FreeConnection {
-  void operator()(evhttp_connection* connection) const { evhttp_connection_free(connection); }
-};
-struct FreeEvent {
-  void operator()(event* timer) const { event_free(timer); }
-};
-
 timeval timeval_of(Seconds duration) {
   auto const whole_seconds = static_cast<time_t>(duration);
   return {whole_seconds, static_cast<suseconds_t>((duration - static_cast<double>(whole_seconds)) * 1e6)};
@@ -51,8 +45,8 @@
 struct PlatformClient::Call {
   PlatformClient* owner = nullptr;  // nullptr once the call is over: late callbacks do nothing
   ResponseHandler on_response;
-  std::unique_ptr<event, FreeEvent> deadline_timer;
-  std::unique_ptr<evhttp_connection, FreeConnection> connection;  // freed first: that may call back with this Call
+  EventOwner deadline_timer;
+  HttpConnectionOwner connection;  // freed first: that may call back with this Call
 
   void finish(PlatformResponse const& response) const {
     if (owner != nullptr) owner->finish(response);
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -15,8 +15,8 @@
 #include "process/program.hpp"
 #include "quorum_contact/controller_selection.hpp"
 #include "quorum_contact/quorum_contact.hpp"
-#include "quota/quota.hpp"
-#include "rollout/rollout.hpp"
+#include "quota/quota_messages.hpp"
+#include "rollout/rollout_messages.hpp"
 #include "server_registry/server_registry.hpp"
 #include "usage/usage_totals.hpp"
 
@@ -158,7 +158,7 @@
         if (m.hello_sent > 0) {
           m.rtt = std::min(1.0, now - m.hello_sent);
           claims_.rtt(ip, m.rtt);
-          if (h.wall > 0) clock_.peer_reading(ip, now - 0.5 * m.rtt, h.wall);
+          if (h.wall > 0) clock_.on_peer_reading(ip, now - 0.5 * m.rtt, h.wall);
           m.hello_sent = 0;
         }
         for (std::string const& x : h.controllers)
@@ -170,7 +170,7 @@
         if (l.tag == m.beats) {
           m.rtt = m.rtt * 0.7 + 0.3 * (now - m.beat_sent);
           claims_.rtt(ip, m.rtt);
-          if (r.wall > 0) clock_.peer_reading(ip, now - 0.5 * (now - m.beat_sent), r.wall);
+          if (r.wall > 0) clock_.on_peer_reading(ip, now - 0.5 * (now - m.beat_sent), r.wall);
         }
         m.contact.hear(r.in_contact, now);
         if (!r.sites.empty()) {  // said only when it changed
@@ -280,7 +280,7 @@
     for (Member const& m : state_.membership)
       if (is_ip(m.ip)) mate(m.ip);
     tell_state(d);
-    totals_.forget(UsageWindow(state_.to_fix));
+    totals_.forget_before(UsageWindow(state_.to_fix));
     claims_.membership(state_, steady_now());
     say_claims();
   }
@@ -343,14 +343,14 @@
     if (!proxy_ || now - clock_told_ < 1.0) return;
     clock_told_ = now;
     ClockReading c;
-    c.wall = clock_.at(steady_now());
+    c.wall = clock_.wall_time_at(steady_now());
     proxy_->send(MessageType::clock_reading, 0, c);
   }
   // Counts go to the nearest directory, which brings them to the node that reports.
   void tell_tally(Seconds now) {
     if (now - tallied_ < 0.5 || primary_.empty()) return;
     tallied_ = now;
-    UsageUpdate const n = totals_.take(tally_all_);
+    UsageUpdate const n = totals_.take_update(tally_all_ ? UsageRows::all : UsageRows::changed);
     tally_all_ = false;
     if (!n.rows.empty()) controllers_[primary_].link->send(MessageType::usage_update, 0, n);
   }
@@ -396,7 +396,7 @@
         break;
       case MessageType::usage_update:
         for (UsageRow const& r : l.as<UsageUpdate>().rows)
-          totals_.join(r);
+          totals_.merge(r);
         break;
       case MessageType::quota_lease_request: {
         Lease const* t = have_ ? state_.term("allowance") : nullptr;
@@ -454,7 +454,7 @@
     Seconds const now = steady_now();
     if (now - last_tick_ > 1.0 && last_tick_ > 0) beat_all();
     last_tick_ = now;
-    clock_.own(now, wall_clock_now());
+    clock_.on_own_reading(now, wall_clock_now());
     if (now - bad_at_ > 10) {
       bad_at_ = now;
       log_rejected_input();
--- a/programs/proxy.cpp
+++ b/programs/proxy.cpp
@@ -23,11 +23,12 @@
 #include "logging/log.hpp"
 #include "planning/traffic_survey.hpp"
 #include "process/program.hpp"
-#include "quota/quota.hpp"
+#include "quota/quota_client.hpp"
 #include "request/admission.hpp"
 #include "request/request_machine.hpp"
 #include "request/request_table.hpp"
-#include "rollout/rollout.hpp"
+#include "rollout/rollout_messages.hpp"
+#include "rollout/staged_changes.hpp"
 #include "server_registry/server_registry.hpp"
 #include "upstream/body_read_tracker.hpp"
 #include "upstream/connection_pool.hpp"
@@ -114,7 +115,7 @@
       tell_load();
       tally_all_ = true;
     });
-    borrower_.front(at("front").str());
+    borrower_.set_address(at("front").str());
     tick_ = std::make_unique<PeriodicTimer>(loop_, 0.1, [this] { tick(); });
     load_tick_ = std::make_unique<PeriodicTimer>(loop_, 0.5, [this] { tell_load(); });
   }
@@ -160,7 +161,7 @@
       case MessageType::state_update: news(l.as<StateUpdate>()); break;
       case MessageType::acquire_key_response: asked(l.tag, l.as<AcquireKeyResponse>()); break;
       case MessageType::stage_request: hold(l.as<StageRequest>()); break;
-      case MessageType::clock_reading: clock_.peer_reading("page", steady_now(), l.as<ClockReading>().wall); break;
+      case MessageType::clock_reading: clock_.on_peer_reading("page", steady_now(), l.as<ClockReading>().wall); break;
       case MessageType::quota_lease_response: loaned(l.as<QuotaLeaseResponse>()); break;
       case MessageType::survey_request: surveyed(l.tag, l.as<SurveyRequest>()); break;
       case MessageType::drain_instruction: told_to_drain(l.as<DrainInstruction>()); break;
@@ -194,7 +195,7 @@
         if (!d.items.empty()) manifest_changed(now);
       }
     }
-    counter_.forget(UsageWindow(to_fix_));
+    counter_.forget_before(UsageWindow(to_fix_));
     if (n.rows_full || !n.rows.empty()) {
       std::vector<LoadBalancer::Seen> v;
       for (ServerRecord const& r : n.rows) {
@@ -243,26 +244,26 @@
     for (TenantPtr const& t : man_.tenants()) {
       if (!t->allowance) continue;
       want.insert(t->name);
-      borrower_.rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)},
-                     as_.sites_of_all(), now);
+      borrower_.set_rule(t->name, QuotaRule{t->allowance->rate, t->allowance->burst, t->allowance->reserve.value_or(0)},
+                         as_.sites_of_all(), now);
     }
     for (std::string const& t : borrower_.tenants())
-      if (want.count(t) == 0) borrower_.drop(t);
+      if (want.count(t) == 0) borrower_.remove_tenant(t);
   }
 
   // Holds a change that is being rolled out: it must compile here whole. What is
   // held changes nothing of how errands are handled; in force is only what the
   // register has committed.
   void hold(StageRequest const& h) {
-    if (h.drop) return held_.drop(h.id);
+    if (h.drop) return held_.withdraw(h.id);
     std::size_t n = 0;
     for (ConfigItem const& i : h.items)
       n += !i.gone && i.key[0] != 'l' ? 1 : 0;
     StageResponse r;
     r.id = h.id;
-    r.holds = held_.holds(h.id) || CompiledConfiguration::from(h.items).size() == n;
+    r.holds = held_.is_staged(h.id) || CompiledConfiguration::from(h.items).size() == n;
     r.front = at("front").str();
-    if (r.holds) held_.hold(h.id, steady_now() + h.for_ms / 1000.0);
+    if (r.holds) held_.stage(h.id, steady_now() + h.for_ms / 1000.0);
     page_.send(MessageType::stage_response, 0, r);
   }
 
@@ -434,7 +435,7 @@
 
   // ---- a partner's budget: it comes first, then rank and worth ------------------
   void admit_partner(ProxiedRequest& e, Seconds now) {
-    if (!e.tenant || !borrower_.has(e.tenant->name)) return carry(e, e.core.admitted());
+    if (!e.tenant || !borrower_.has_tenant(e.tenant->name)) return carry(e, e.core.admitted());
     std::string const& t = e.tenant->name;
     bool const high = is_high(e);
     e.token = borrower_.take(t, high, now);
@@ -443,7 +444,7 @@
     // of use; nothing is held back after its answer.
     if (!e.parked && page_.up()) {
       e.parked = true;
-      parked_.push_back({e.h, borrower_.waits(t, now)});
+      parked_.push_back({e.h, borrower_.await_tokens(t, now)});
       lend(now);
       return set_timer(e, std::min(e.deadline(), now + std::max(0.02, 0.2 * e.route->latency_target)));
     }
@@ -454,20 +455,20 @@
   bool is_high(ProxiedRequest const& e) const { return e.route->rank < man_.lowest_rank(); }
 
   void overdrawn(ProxiedRequest& e) {
-    borrower_.refused(e.tenant->name);
-    carry(e, e.core.overdrawn(borrower_.wait_of(e.tenant->name)));
+    borrower_.count_refusal(e.tenant->name);
+    carry(e, e.core.overdrawn(borrower_.retry_after(e.tenant->name)));
   }
 
   void lend(Seconds now) {
-    if (!page_.up() || !borrower_.due(now)) return;
-    QuotaLeaseRequest const a = borrower_.ask(now);
-    if (a.wants.empty()) return borrower_.lost();
+    if (!page_.up() || !borrower_.is_request_due(now)) return;
+    QuotaLeaseRequest const a = borrower_.make_request(now);
+    if (a.wants.empty()) return borrower_.on_request_lost();
     page_.send(MessageType::quota_lease_request, 0, a);
   }
 
   void loaned(QuotaLeaseResponse const& r) {
     Seconds const now = steady_now();
-    borrower_.got(r, now);
+    borrower_.on_response(r, now);
     std::vector<Parked> l;
     l.swap(parked_);
     for (Parked const& p : l) {
@@ -821,9 +822,9 @@
   void count(ProxiedRequest& e) {
     if (!e.tenant || e.counted >= e.course().attempts()) return;
     e.counted = e.course().attempts();
-    WallSeconds const w = clock_.known() ? clock_.at(e.course().attempt_started_at())
-                                         : wall_clock_now() - (steady_now() - e.course().attempt_started_at());
-    counter_.began(e.tenant->name, window_of(w, st_.bounds.reportPeriodS));
+    WallSeconds const w = clock_.is_known() ? clock_.wall_time_at(e.course().attempt_started_at())
+                                            : wall_clock_now() - (steady_now() - e.course().attempt_started_at());
+    counter_.count_request(e.tenant->name, usage_window_at(w, st_.bounds.reportPeriodS));
   }
 
   void count_silent(Seconds now) {
@@ -838,7 +839,7 @@
   void tell_tally(Seconds now) {
     if (now - tallied_ < 0.25 || !page_.up()) return;
     tallied_ = now;
-    UsageUpdate const n = counter_.take(tally_all_);
+    UsageUpdate const n = counter_.take_update(tally_all_ ? UsageRows::all : UsageRows::changed);
     tally_all_ = false;
     if (!n.rows.empty()) page_.send(MessageType::usage_update, 0, n);
   }
@@ -910,7 +911,7 @@
     readings_.tick();
     page_.tick(now);
     held_.expire(now);
-    clock_.own(now, wall_clock_now());
+    clock_.on_own_reading(now, wall_clock_now());
     count_silent(now);
     tell_tally(now);
     lend(now);
--- a/tests/drain/proxy_drain_test.cpp
+++ b/tests/drain/proxy_drain_test.cpp
@@ -137,16 +137,16 @@
     if (now < c.down_until || now < c.frozen_until) return;
     if (now >= c.cut_until) {
       c.known = reg;
-      c.duty.seen(reg.term("drain"), now);
+      c.duty.observe(reg.term("drain"), now);
     }
-    if (LeaseClient::Action const m = c.duty.step(now, true); m != LeaseClient::Action::none) {
-      LeaseClient::Proposal const a = c.duty.ask(m, now);
+    if (LeaseClient::Action const m = c.duty.next_action(now, true); m != LeaseClient::Action::none) {
+      LeaseClient::Proposal const a = c.duty.propose(m, now);
       LeaseClient const was = c.duty;
       u64 const incarnation = lives[i];
       submit(
           i, [was, a](ReplicatedState& s) { return was.apply(s, a); },
           [this, i, a, incarnation](bool ok) {
-            if (lives[i] == incarnation) cores[i].duty.answered(a, ok, now);
+            if (lives[i] == incarnation) cores[i].duty.on_result(a, ok, now);
           });
     }
     if (!c.duty.may_act(now, 0)) {
@@ -325,7 +325,7 @@
       blow = m.now + m.u(3, 12);
       std::size_t i = m.rnd() % 3;
       for (std::size_t k = 0; k < 3; ++k)
-        if (m.cores[k].duty.holds() && m.u(0, 1) < 0.8) i = k;
+        if (m.cores[k].duty.is_holder() && m.u(0, 1) < 0.8) i = k;
       switch (m.rnd() % 3) {
         case 0:
           m.cores[i] =
--- a/tests/operator_commands/operator_commands_test.cpp
+++ b/tests/operator_commands/operator_commands_test.cpp
@@ -199,12 +199,12 @@
 
 Test(orders, a_rollout_hears_an_order_again) {
   Rollout r(1, RolloutOptions{}, 0);
-  cr_assert(r.heed(RolloutCommand::pause, 0));
-  cr_assert(r.heed(RolloutCommand::pause, 0));
-  cr_assert(r.heed(RolloutCommand::abort, 0));
-  cr_assert(r.heed(RolloutCommand::abort, 0));
-  cr_assert(r.heed(RolloutCommand::pause, 0), "acknowledged before it was over");
-  cr_assert_not(r.heed(RolloutCommand::resume, 0), "never acknowledged");
+  cr_assert(r.apply_command(RolloutCommand::pause, 0));
+  cr_assert(r.apply_command(RolloutCommand::pause, 0));
+  cr_assert(r.apply_command(RolloutCommand::abort, 0));
+  cr_assert(r.apply_command(RolloutCommand::abort, 0));
+  cr_assert(r.apply_command(RolloutCommand::pause, 0), "acknowledged before it was over");
+  cr_assert_not(r.apply_command(RolloutCommand::resume, 0), "never acknowledged");
 }
 
 namespace {
--- a/tests/robustness/malformed_input_test.cpp
+++ b/tests/robustness/malformed_input_test.cpp
@@ -115,9 +115,9 @@
     ReplicatedState s;
     s.fixed.emplace_back();
     s.fixed.back().window = 1;
-    r.sent(0);
-    r.answered(1, 503, wait, 0);
-    cr_assert(!r.to_send(s, 0.1) && r.to_send(s, 301));
+    r.on_sent(0);
+    r.on_response(1, PlatformResponse{503, wait}, 0);
+    cr_assert(!r.report_to_send(s, 0.1) && r.report_to_send(s, 301));
   }
 }
 
--- a/tests/support/simulated_day.hpp
+++ b/tests/support/simulated_day.hpp
@@ -250,10 +250,10 @@
     for (Led& l : d.led) {
       if (is_over(l.ro.phase()) || l.ro.phase() == RolloutPhase::committing) continue;
       for (auto const& [at, s] : l.words)
-        if (at <= now) l.ro.heard(s, true);
-      if (n.committed && !brings_news(n.committed->items, l.o.asked())) l.ro.overtaken();
-      auto const st = l.ro.step(static_cast<Seconds>(now), sites);
-      for (std::string const& s : st.send)
+        if (at <= now) l.ro.on_stage_response(s, true);
+      if (n.committed && !brings_news(n.committed->items, l.o.asked())) l.ro.on_overtaken();
+      auto const st = l.ro.advance(static_cast<Seconds>(now), sites);
+      for (std::string const& s : st.stage_on)
         if (!chance(0.1)) l.words.emplace_back(now + draw(25), s);
       if (l.ro.phase() == RolloutPhase::fell_back) l.done(unsettled("fell back"));
       if (l.ro.phase() == RolloutPhase::overtaken) {
@@ -265,7 +265,7 @@
         order(ip, l.o, [this, ip, id, done = l.done](CommandResult const& o) {
           done(o);
           for (Led& x : desks_.at(ip).led)
-            if (x.ro.id() == id) x.ro.committed(o.ruling == CommandStatus::taken);
+            if (x.ro.id() == id) x.ro.on_commit_result(o.ruling == CommandStatus::taken);
         });
       }
     }
