--- a/packages/drain/drain_run.cpp
+++ b/packages/drain/drain_run.cpp
@@ -5,9 +5,149 @@
 #include <set>
 
 namespace dockbend {
+namespace {
+std::size_t constexpr kMaxFinishedRuns = 8;  // kept in the state for status pages and repeated orders
+
+DrainRun* find_run(ReplicatedState& state, u64 id) {
+  auto const it =
+      std::find_if(state.passes.begin(), state.passes.end(), [id](DrainRun const& r) { return r.id == id; });
+  return it == state.passes.end() ? nullptr : &*it;
+}
+
+void drop_units(ReplicatedState& state, u64 run_id) {
+  std::erase_if(state.units, [run_id](DrainUnit const& unit) { return unit.pass == run_id; });
+}
+
+std::set<std::string> unit_names(ReplicatedState const& state, u64 run_id) {
+  std::set<std::string> names;
+  for (DrainUnit const& unit : state.units)
+    if (unit.pass == run_id) names.insert(unit.name);
+  return names;
+}
+
+std::set<std::string> unit_names(DrainOrder const& order) {
+  std::set<std::string> names;
+  for (DrainOrderUnit const& unit : order.units)
+    names.insert(unit.name);
+  return names;
+}
+
+/// A run in progress over exactly these units: the same order under another number.
+DrainRun const* find_active_run(ReplicatedState const& state, bool servers, std::set<std::string> const& names) {
+  for (DrainRun const& run : state.passes)
+    if (!is_over(run.state) && run.servers == servers && unit_names(state, run.id) == names) return &run;
+  return nullptr;
+}
+
+void check_no_overlap(ReplicatedState const& state, std::set<std::string> const& names) {
+  for (DrainUnit const& unit : state.units)
+    if (names.count(unit.name) > 0)
+      throw DrainOrderError(409, unit.name + ": already in pass " + std::to_string(unit.pass));
+}
+
+/// Makes room for one more run: the oldest finished ones are forgotten.
+void drop_oldest_finished_runs(ReplicatedState& state) {
+  auto finished = static_cast<std::size_t>(
+      std::count_if(state.passes.begin(), state.passes.end(), [](DrainRun const& run) { return is_over(run.state); }));
+  for (auto it = state.passes.begin(); finished >= kMaxFinishedRuns && it != state.passes.end();) {
+    if (!is_over(it->state)) {
+      ++it;
+      continue;
+    }
+    it = state.passes.erase(it);
+    --finished;
+  }
+}
+
+DrainRun make_run(DrainOrder const& order, u64 id, u64 digest) {
+  DrainRun run;
+  run.id = id;
+  run.servers = order.servers;
+  run.state = DrainRunState::running;
+  run.headroom = order.headroom;
+  run.max_out = order.maxUnavailable;
+  run.patience = order.patienceS;
+  run.replaced = order.replaced;
+  run.had = order.had;
+  run.total = static_cast<u32>(order.units.size());
+  run.digest = digest;
+  return run;
+}
+
+DrainUnit make_unit(DrainOrderUnit const& ordered, u64 run_id) {
+  DrainUnit unit;
+  unit.pass = run_id;
+  unit.name = ordered.name;
+  unit.node = ordered.node;
+  unit.wave = ordered.wave;
+  return unit;
+}
+
+bool apply_transition(ReplicatedState& state, StageTransition const& transition) {
+  DrainRun const* run = state.pass(transition.pass);
+  if (run == nullptr || is_over(run->state)) return false;
+  bool changed = false;
+  for (DrainUnit& unit : state.units) {
+    if (unit.pass != transition.pass || unit.name != transition.name || unit.stage != transition.from) continue;
+    if (run->state == DrainRunState::paused && unit.stage == DrainStage::waiting) continue;
+    if (unit.stage == transition.to && unit.incarnation == transition.incarnation) continue;
+    unit.stage = transition.to;
+    unit.incarnation = transition.incarnation;
+    changed = true;
+  }
+  return changed;
+}
+
+bool apply_message(ReplicatedState& state, DrainRunMessage const& message) {
+  DrainRun* run = find_run(state, message.pass);
+  if (run == nullptr || is_over(run->state) || run->why == message.why) return false;
+  run->why = message.why;
+  return true;
+}
+
+/// Counts the units that are back and ends the runs that have them all.
+bool update_progress(ReplicatedState& state) {
+  std::map<u64, u32> units_back;
+  for (DrainUnit const& unit : state.units)
+    units_back[unit.pass] += unit.stage == DrainStage::back ? 1 : 0;
+  bool changed = false;
+  for (DrainRun& run : state.passes) {
+    if (is_over(run.state) || run.back == units_back[run.id]) continue;
+    run.back = units_back[run.id];
+    changed = true;
+    if (run.back < run.total) continue;
+    run.state = DrainRunState::done;
+    run.why.clear();
+    drop_units(state, run.id);
+  }
+  return changed;
+}
 
-char const* stage_str(DrainStage s) {
-  switch (s) {
+bool set_state(DrainRun& run, DrainRunState wanted) {
+  bool const changed = run.state != wanted;
+  run.state = wanted;
+  return changed;
+}
+
+void abort_run(ReplicatedState& state, DrainRun& run) {
+  run.state = DrainRunState::aborted;
+  run.why = "aborted by the operator";
+  drop_units(state, run.id);
+}
+
+bool take_unit_back(ReplicatedState& state, u64 run_id, std::string const& name) {
+  auto const it = std::find_if(state.units.begin(), state.units.end(),
+                               [&](DrainUnit const& unit) { return unit.pass == run_id && unit.name == name; });
+  if (it == state.units.end()) throw DrainOrderError(404, "not in this pass: " + name);
+  if (it->stage == DrainStage::back) return false;
+  it->stage = DrainStage::back;
+  update_progress(state);  // it may have been the last
+  return true;
+}
+}  // namespace
+
+char const* stage_str(DrainStage stage) {
+  switch (stage) {
     case DrainStage::waiting: return "waiting";
     case DrainStage::cordoned: return "cordoned";
     case DrainStage::draining: return "draining";
@@ -17,8 +157,9 @@
   }
   return "unknown";
 }
-char const* pass_state_str(DrainRunState s) {
-  switch (s) {
+
+char const* pass_state_str(DrainRunState state) {
+  switch (state) {
     case DrainRunState::running: return "running";
     case DrainRunState::paused: return "paused";
     case DrainRunState::aborted: return "aborted";
@@ -27,170 +168,63 @@
   return "unknown";
 }
 
-namespace {
-std::size_t const kept_passes = 8;  // of those that are over
-
-u64 number(std::string const& id) {
-  char* end = nullptr;
-  u64 const n = std::strtoull(id.c_str(), &end, 10);
-  if (id.empty() || *end != '\0' || n == 0) throw DrainOrderError(400, "id: wants a number above 0");
-  return n;
-}
-std::set<std::string> names_of(ReplicatedState const& s, u64 pass) {
-  std::set<std::string> v;
-  for (DrainUnit const& u : s.units)
-    if (u.pass == pass) v.insert(u.name);
-  return v;
-}
-// The same for the same order, whatever order its units come in.
-u64 digest_of(DrainOrder o) {
-  std::sort(o.units.begin(), o.units.end(),
-            [](DrainOrderUnit const& a, DrainOrderUnit const& b) { return a.name < b.name; });
-  return hash64(codec::pack(o)) | 1;
-}
-DrainRun* pass_in(ReplicatedState& s, u64 id) {
-  for (DrainRun& p : s.passes)
-    if (p.id == id) return &p;
-  return nullptr;
-}
-void drop_units(ReplicatedState& s, u64 pass) {
-  std::erase_if(s.units, [&](DrainUnit const& u) { return u.pass == pass; });
-}
-}  // namespace
-
-void check(DrainOrder const& o) {
-  number(o.id);
-  if (!(o.headroom >= 0 && o.headroom < 1)) throw DrainOrderError(400, "headroom: wants a share from 0 to below 1");
-  if (o.units.empty()) throw DrainOrderError(400, "units: empty");
-  if (o.servers && o.maxUnavailable == 0) throw DrainOrderError(400, "maxUnavailable: wants a number above 0");
-  if (!(o.patienceS > 0)) throw DrainOrderError(400, "patienceS: wants a time above 0");
-  std::set<std::string> seen;
-  for (DrainOrderUnit const& u : o.units) {
-    if (u.name.empty()) throw DrainOrderError(400, "units: a name is empty");
-    if (!seen.insert(u.name).second) throw DrainOrderError(400, u.name + ": named twice");
-  }
+bool is_over(DrainRunState state) {
+  return state == DrainRunState::aborted || state == DrainRunState::done;
 }
 
-DrainUnit const* unit_of(ReplicatedState const& s, std::string const& name) {
-  for (DrainUnit const& u : s.units)
-    if (u.name == name) return &u;
-  return nullptr;
+DrainUnit const* unit_of(ReplicatedState const& state, std::string const& name) {
+  auto const it =
+      std::find_if(state.units.begin(), state.units.end(), [&](DrainUnit const& unit) { return unit.name == name; });
+  return it == state.units.end() ? nullptr : &*it;
 }
 
-bool start(ReplicatedState& s, DrainOrder const& o, u64& id) {
-  check(o);
-  id = number(o.id);
-  u64 const digest = digest_of(o);
-  if (DrainRun const* p = s.pass(id); p != nullptr) {
-    if (p->digest != 0 && p->digest != digest) throw DrainOrderError(409, "id: another order has this number");
+bool start(ReplicatedState& state, DrainOrder const& order, u64& id) {
+  check(order);
+  id = run_id_of(order);
+  u64 const digest = digest_of(order);
+  if (DrainRun const* run = state.pass(id); run != nullptr) {
+    if (run->digest != 0 && run->digest != digest) throw DrainOrderError(409, "id: another order has this number");
     return false;
   }
-  std::set<std::string> want;
-  for (DrainOrderUnit const& u : o.units)
-    want.insert(u.name);
-  for (DrainRun const& p : s.passes)
-    if (!is_over(p.state) && p.servers == o.servers && names_of(s, p.id) == want) {
-      id = p.id;
-      return false;
-    }
-  for (DrainUnit const& u : s.units)
-    if (want.count(u.name) > 0) throw DrainOrderError(409, u.name + ": already in pass " + std::to_string(u.pass));
-  std::size_t over = 0;
-  for (DrainRun const& p : s.passes)
-    over += is_over(p.state) ? 1 : 0;
-  for (auto it = s.passes.begin(); over >= kept_passes && it != s.passes.end();) {
-    if (!is_over(it->state)) {
-      ++it;
-      continue;
-    }
-    it = s.passes.erase(it);
-    --over;
-  }
-  DrainRun p;
-  p.id = id;
-  p.servers = o.servers;
-  p.state = DrainRunState::running;
-  p.headroom = o.headroom;
-  p.max_out = o.maxUnavailable;
-  p.patience = o.patienceS;
-  p.replaced = o.replaced;
-  p.had = o.had;
-  p.total = static_cast<u32>(o.units.size());
-  p.digest = digest;
-  s.passes.push_back(std::move(p));
-  for (DrainOrderUnit const& u : o.units) {
-    DrainUnit x;
-    x.pass = id;
-    x.name = u.name;
-    x.node = u.node;
-    x.wave = u.wave;
-    s.units.push_back(std::move(x));
+  std::set<std::string> const names = unit_names(order);
+  if (DrainRun const* run = find_active_run(state, order.servers, names); run != nullptr) {
+    id = run->id;
+    return false;
   }
+  check_no_overlap(state, names);
+  drop_oldest_finished_runs(state);
+  state.passes.push_back(make_run(order, id, digest));
+  for (DrainOrderUnit const& unit : order.units)
+    state.units.push_back(make_unit(unit, id));
   return true;
 }
 
-bool apply(ReplicatedState& s, DrainActions const& m) {
-  bool any = false;
-  for (StageTransition const& x : m.moves) {
-    DrainRun const* p = s.pass(x.pass);
-    if (p == nullptr || is_over(p->state)) continue;
-    for (DrainUnit& u : s.units) {
-      if (u.pass != x.pass || u.name != x.name || u.stage != x.from) continue;
-      if (p->state == DrainRunState::paused && u.stage == DrainStage::waiting) continue;  // nothing more is begun
-      if (u.stage == x.to && u.incarnation == x.incarnation) continue;
-      u.stage = x.to;
-      u.incarnation = x.incarnation;
-      any = true;
-    }
-  }
-  for (DrainRunMessage const& w : m.words)
-    if (DrainRun* p = pass_in(s, w.pass); p != nullptr && !is_over(p->state) && p->why != w.why) {
-      p->why = w.why;
-      any = true;
-    }
-  std::map<u64, u32> back;
-  for (DrainUnit const& u : s.units)
-    back[u.pass] += u.stage == DrainStage::back ? 1 : 0;
-  for (DrainRun& p : s.passes) {
-    if (is_over(p.state) || p.back == back[p.id]) continue;
-    p.back = back[p.id];
-    any = true;
-    if (p.back < p.total) continue;
-    p.state = DrainRunState::done;
-    p.why.clear();
-    drop_units(s, p.id);
-  }
-  return any;
-}
-
-bool command(ReplicatedState& s, u64 id, DrainCommand o, std::string const& unit) {
-  DrainRun* p = pass_in(s, id);
-  if (p == nullptr) throw DrainOrderError(404, "no such pass: " + std::to_string(id));
-  if (o == DrainCommand::abort && p->state == DrainRunState::aborted) return false;
-  if (is_over(p->state)) throw DrainOrderError(409, std::string("pass is ") + pass_state_str(p->state));
-  switch (o) {
-    case DrainCommand::pause:
-      if (p->state == DrainRunState::paused) return false;
-      p->state = DrainRunState::paused;
-      return true;
-    case DrainCommand::resume:
-      if (p->state == DrainRunState::running) return false;
-      p->state = DrainRunState::running;
-      return true;
-    case DrainCommand::abort:
-      p->state = DrainRunState::aborted;
-      p->why = "aborted by the operator";
-      drop_units(s, id);
-      return true;
-    case DrainCommand::take_back: {
-      auto const it = std::find_if(s.units.begin(), s.units.end(),
-                                   [&](DrainUnit const& u) { return u.pass == id && u.name == unit; });
-      if (it == s.units.end()) throw DrainOrderError(404, "not in this pass: " + unit);
-      if (it->stage == DrainStage::back) return false;
-      it->stage = DrainStage::back;
-      apply(s, DrainActions{});  // it may have been the last
-      return true;
-    }
+bool apply(ReplicatedState& state, DrainActions const& actions) {
+  bool changed = false;
+  for (StageTransition const& transition : actions.moves)
+    changed = apply_transition(state, transition) || changed;
+  for (DrainRunMessage const& message : actions.words)
+    changed = apply_message(state, message) || changed;
+  return update_progress(state) || changed;
+}
+
+void drop_known_messages(ReplicatedState const& state, DrainActions& actions) {
+  std::erase_if(actions.words, [&](DrainRunMessage const& message) {
+    DrainRun const* run = state.pass(message.pass);
+    return run != nullptr && run->why == message.why;
+  });
+}
+
+bool command(ReplicatedState& state, u64 id, DrainCommand command, std::string const& unit) {
+  DrainRun* run = find_run(state, id);
+  if (run == nullptr) throw DrainOrderError(404, "no such pass: " + std::to_string(id));
+  if (command == DrainCommand::abort && run->state == DrainRunState::aborted) return false;
+  if (is_over(run->state)) throw DrainOrderError(409, std::string("pass is ") + pass_state_str(run->state));
+  switch (command) {
+    case DrainCommand::pause: return set_state(*run, DrainRunState::paused);
+    case DrainCommand::resume: return set_state(*run, DrainRunState::running);
+    case DrainCommand::abort: abort_run(state, *run); return true;
+    case DrainCommand::take_back: return take_unit_back(state, id, unit);
   }
   return false;
 }
--- a/packages/drain/include/drain/drain_run.hpp
+++ b/packages/drain/include/drain/drain_run.hpp
@@ -1,65 +1,65 @@
-// A pass over nodes or servers that an operator ordered out: what the register keeps of
-// it, and the changes that move it. No I/O.
+/// Drain runs in the replicated state: how an order becomes a run, and the changes that advance, command and end
+/// it. Everything here is a pure change of a ReplicatedState value, so every controller gets the same result. No I/O.
 #pragma once
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "consensus/replicated_state.hpp"
+#include "drain/drain_order.hpp"
 
 namespace dockbend {
 
-char const* stage_str(DrainStage s);
-char const* pass_state_str(DrainRunState s);
+/// The stage's name as status pages and log lines show it.
+char const* stage_str(DrainStage stage);
+/// The state's name as status pages show it.
+char const* pass_state_str(DrainRunState state);
 
-struct DrainOrderUnit {
-  DB_RECORD(DrainOrderUnit, (std::string, name), (std::string, node), (u32, wave));
-};
-// An order as it comes in. Names are front addresses of proxies, or ids of servers.
-struct DrainOrder {
-  DB_RECORD(DrainOrder, (std::string, id), (bool, servers), (double, headroom), (u32, maxUnavailable),
-            (double, patienceS), (bool, replaced), (std::vector<DrainOrderUnit>, units),
-            (std::vector<InitialServerCount>, had));
-};
-// Throws DrainOrderError with one line that names the thing.
-struct DrainOrderError : std::runtime_error {
-  int code;
-  DrainOrderError(int c, std::string const& what) : std::runtime_error(what), code(c) {}
-};
-void check(DrainOrder const& o);
+/// True for a run that was aborted or has brought all its units back: it changes no more.
+bool is_over(DrainRunState state);
+
+/// The unit of that name in a run that is not over, or null. Units of runs that are over are not in the state.
+DrainUnit const* unit_of(ReplicatedState const& state, std::string const& name);
 
-// Puts the order into the value. The same order again is the same pass; another under its
-// number, or one that overlaps another that is not over, is refused. Returns whether the value changed; id is the pass.
-bool start(ReplicatedState& s, DrainOrder const& o, u64& id);
+/// Adds a run for the order to the state. A repeat of an order finds the run it began; `id` receives the number of
+/// the run in either case. Returns whether the state changed. Throws DrainOrderError: 400 for an order that `check`
+/// refuses, 409 if another order has its number or a unit is in another run that is not over.
+bool start(ReplicatedState& state, DrainOrder const& order, u64& id);
 
-// One unit's step, resting on the stage that was seen.
+/// One unit moves from the stage in which it was seen to another. `incarnation` is that of the process which is
+/// being drained, 0 for servers.
 struct StageTransition {
   u64 pass = 0;
   std::string name;
   DrainStage from = DrainStage::waiting, to = DrainStage::waiting;
   u64 incarnation = 0;
 };
-// What is said of a pass.
+
+/// What a run is waiting for, in one line for the operator; empty if for nothing in particular.
 struct DrainRunMessage {
   u64 pass = 0;
   std::string why;
 };
+
+/// What a planner wants changed in the replicated state.
 struct DrainActions {
   std::vector<StageTransition> moves;
   std::vector<DrainRunMessage> words;
   bool empty() const { return moves.empty() && words.empty(); }
 };
-// Applies what still rests on what the value says; a repeat changes nothing. Ends passes
-// whose last unit is back.
-bool apply(ReplicatedState& s, DrainActions const& m);
 
+/// Applies the transitions whose unit is still in the stage they start from, and the messages; what no longer fits
+/// is passed over, so a repeat changes nothing. A paused run begins no new unit. A run whose last unit is back
+/// becomes `done`. Returns whether the state changed.
+bool apply(ReplicatedState& state, DrainActions const& actions);
+
+/// Removes messages that the state already holds.
+void drop_known_messages(ReplicatedState const& state, DrainActions& actions);
+
+/// What an operator may do to a run: `take_back` returns one unit to service.
 enum class DrainCommand : u8 { pause = 1, resume = 2, abort = 3, take_back = 4 };
-// False if there is nothing to change; throws DrainOrderError if the pass is unknown or over.
-bool command(ReplicatedState& s, u64 id, DrainCommand o, std::string const& unit = "");
 
-inline bool is_over(DrainRunState s) {
-  return s == DrainRunState::aborted || s == DrainRunState::done;
-}
-DrainUnit const* unit_of(ReplicatedState const& s, std::string const& name);  // of a pass that is not over
+/// Carries out an operator's command on run `id`; `unit` names the unit of `take_back`. Returns false if there is
+/// nothing to change. Throws DrainOrderError: 404 if the run or unit is unknown, 409 if the run is over.
+bool command(ReplicatedState& state, u64 id, DrainCommand command, std::string const& unit = "");
 
 }  // namespace dockbend
--- a/packages/drain/include/drain/proxy_drain_state.hpp
+++ b/packages/drain/include/drain/proxy_drain_state.hpp
@@ -1,4 +1,4 @@
-// A proxy's own part in its drain: what it is told, and what it says of itself. No I/O.
+/// A proxy's own part in its drain: what the controllers instruct it to do, and what it reports. No I/O.
 #pragma once
 #include <deque>
 
@@ -7,45 +7,29 @@
 
 namespace dockbend {
 
-// Invariants: only the life that is meant drains, the one after it serves; while nothing is
-// wanted of it, it says nothing; `since` runs from when it was first told, by its own clock.
+/// Kept by each proxy process. Invariants: only the incarnation that the instruction names drains, the one after it
+/// serves; while no drain concerns the proxy it reports nothing but its incarnation; `ProxyDrainStatus::since` counts
+/// from the first instruction, by this proxy's clock.
 class ProxyDrainState {
  public:
   explicit ProxyDrainState(u64 incarnation) : incarnation_(incarnation) {}
-  // True if it begins or ceases to drain by this.
-  bool told(DrainInstruction const& d, Seconds now) {
-    bool const was = drains();
-    if (said_.stage == 0) since_ = now;
-    said_ = d;
-    return drains() != was;
-  }
-  bool drains() const {
-    return said_.stage >= static_cast<u32>(DrainStage::draining) && said_.incarnation == incarnation_;
-  }
-  bool concerned() const { return said_.stage > 0; }
-  // A keyed request was answered: its answer is on its way to disk for a moment.
-  void answered(Seconds now) {
-    if (drains()) answered_.push_back(now);
-  }
-  // keyed, uploads: open now.
-  ProxyDrainStatus word(u32 keyed, u32 uploads, Seconds now) {
-    ProxyDrainStatus w;
-    w.incarnation = incarnation_;
-    if (!concerned()) return w;
-    while (!answered_.empty() && now - answered_.front() > 1.5)
-      answered_.pop_front();
-    w.stage = drains() || said_.stage == static_cast<u32>(DrainStage::cordoned) ? said_.stage : 0;
-    w.keyed = keyed + static_cast<u32>(answered_.size());
-    w.uploads = uploads;
-    w.since = now - since_;
-    return w;
-  }
+
+  /// Takes the instruction that came with a heartbeat's response. Returns true if the proxy begins or ceases to drain.
+  bool told(DrainInstruction const& instruction, Seconds now);
+  /// True if new keyed requests and uploads are to be refused.
+  bool drains() const;
+  /// True if the directories leave this proxy out, or it drains.
+  bool concerned() const { return instruction_.stage > 0; }
+  /// A keyed request was answered: until its answer is on disk it still counts as open.
+  void answered(Seconds now);
+  /// The report for the next heartbeat. `keyed`, `uploads`: requests open now.
+  ProxyDrainStatus word(u32 keyed, u32 uploads, Seconds now);
 
  private:
   u64 incarnation_;
-  DrainInstruction said_;
-  Seconds since_ = 0;
-  std::deque<Seconds> answered_;
+  DrainInstruction instruction_;
+  Seconds concerned_since_ = 0;
+  std::deque<Seconds> answered_at_;  // of keyed requests, the latest last
 };
 
 }  // namespace dockbend
--- a/packages/drain/include/drain/server_drain.hpp
+++ b/packages/drain/include/drain/server_drain.hpp
@@ -1,74 +1,64 @@
-// Servers out of service, in order: who leaves next. No I/O.
+/// Drain runs over servers (server rotation): which server leaves next, and which are empty. No I/O.
 #pragma once
-#include <algorithm>
-#include <map>
 #include <string>
 #include <vector>
 
 #include "drain/drain_run.hpp"
+#include "drain/open_work.hpp"
+#include "drain/unit_clock.hpp"
 
 namespace dockbend {
 
-// What one proxy has open at one server. bytes: sent of bodies still open; age: of the
-// oldest of them.
-struct OpenWork {
-  DB_RECORD(OpenWork, (std::string, id), (u32, uploads), (double, bytes), (double, age), (u32, keyed), (u32, sessions));
-  // What another proxy holds there.
-  void add(OpenWork const& o) {
-    uploads += o.uploads;
-    bytes += o.bytes;
-    age = std::max(age, o.age);
-    keyed += o.keyed;
-    sessions += o.sessions;
-  }
-};
-
-// A server as the holder of the duty knows it.
+/// A server as the holder of the drain lease knows it.
 struct ServerObservation {
   std::string id, service, zone, region;
-  bool present = false, ready = false;  // ready: it may get new work
-  double slots = 1;                     // that it bears: a cold one fewer
-  OpenWork held;                        // over all proxies
-  bool told = false;                    // every proxy that may have sent to it said what it holds
+  bool present = false;  // it is registered and has neither left nor been lost
+  bool ready = false;    // it may get new requests
+  double slots = 1;      // requests it can run at once; fewer while it is warming up
+  OpenWork held;         // summed over all proxies
+  bool told = false;     // every proxy that may have sent to it has reported what it has open there
 };
 
-// What leaves first: those with least that would be lost. A report that is missing counts
-// as busy.
+/// The order in which servers leave: first the one that would lose least if it ended now. A server with a report
+/// missing counts as busy.
 bool leaves_before(ServerObservation const& a, ServerObservation const& b);
 
+/// Times in seconds.
 struct ServerDrainOptions {
-  Seconds spread = 3.5;  // after this long no proxy sends it anything new
-  Seconds settle = 0.8;
-  std::size_t window = 32;  // units that wait whose holdings are asked for at once
+  Seconds spread = 3.5;     // this long after a server begins to drain, no proxy sends it anything new
+  Seconds settle = 0.8;     // a server counts as empty once it has been idle this long
+  std::size_t window = 32;  // waiting servers whose open work is asked for at once
 };
 
-// Invariants:
-// - of a service no more than max_out servers that it had are missing at once, be they
-//   drained, lost or not yet replaced;
-// - a server leaves `waiting` only while its service, in its region, keeps the headroom
-//   without it;
-// - it is `empty` only when every proxy that may hold something there says that it does
-//   not, twice, `settle` apart, and after `spread`;
-// - the order is worked out anew at each step.
+/// Plans the drain runs over servers. Invariants:
+/// - of the servers that a service had, no more than `max_out` are missing at once, whether drained, lost or not yet
+///   replaced;
+/// - a server leaves `waiting` only while its service keeps the headroom in its region without it;
+/// - it is `empty` only when every proxy that may have work open there reports none, twice, `settle` apart and after
+///   `spread`;
+/// - the order of leaving is worked out anew at each step.
 class ServerDrainPlanner {
  public:
-  explicit ServerDrainPlanner(ServerDrainOptions p) : p_(p) {}
-  DrainActions step(ReplicatedState const& s, std::vector<ServerObservation> const& servers, Seconds now);
-  // Whose holdings have to be known now: of all that drain, and of a few that wait, others each
-  // time. What a rotation costs must not grow as proxies x servers.
-  std::vector<std::string> interest(ReplicatedState const& s);
-  // Since when a unit is in its stage, in this holder's sight; < 0: not known.
-  Seconds since(u64 pass, std::string const& name) const;
-  void forget() { at_.clear(); }
+  explicit ServerDrainPlanner(ServerDrainOptions options) : options_(options) {}
+
+  /// The changes that the runs in `state` need now, by what is known of the servers. Called by the holder of the
+  /// drain lease every few hundred milliseconds; the caller submits the changes.
+  DrainActions step(ReplicatedState const& state, std::vector<ServerObservation> const& servers, Seconds now);
+
+  /// The servers whose open work has to be known for the next step: all that drain and a few that wait, other ones
+  /// at each call, because the cost of a rotation must not grow as proxies x servers.
+  std::vector<std::string> interest(ReplicatedState const& state);
+
+  /// Since when a unit has been in its stage, as seen by this lease holder; < 0 if not known.
+  Seconds since(u64 run_id, std::string const& name) const;
+
+  /// To be called when this controller no longer holds the drain lease: times are measured anew by the next holder.
+  void forget() { clock_.clear(); }
 
  private:
-  struct Mark {
-    DrainStage stage = DrainStage::waiting;
-    Seconds since = 0, quiet_since = -1;
-  };
-  ServerDrainOptions p_;
-  std::size_t cursor_ = 0;  // among the units that wait
-  std::map<std::pair<u64, std::string>, Mark> at_;
+  ServerDrainOptions options_;
+  std::size_t cursor_ = 0;  // position among the waiting servers of the next window
+  UnitClock clock_;
 };
 
 }  // namespace dockbend
