--- a/packages/server_registry/server_registry.cpp
+++ b/packages/server_registry/server_registry.cpp
@@ -1,127 +1,134 @@
 #include "server_registry/server_registry.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <unordered_set>
 
 namespace dockbend {
+namespace {
+// Warm-up times of two records of one server that differ by no more are equal: delays on the way explain it.
+Seconds constexpr kWarmUpTolerance = 0.4;
+}  // namespace
+
+u64 ServerRegistry::hash_of(ServerRecord const& record) {
+  return hash64(record.id + "|" + record.service + "|" + record.address + "|" + record.owner,
+                static_cast<u64>(record.state));
+}
+
+ServerRecord ServerRegistry::record_at(Entry const& entry, Seconds now) {
+  ServerRecord record = entry.row;
+  record.cold_left = std::max(0.0, entry.cold_until - now);
+  return record;
+}
 
-u64 ServerRegistry::mark(ServerRecord const& r) {
-  return hash64(r.id + "|" + r.service + "|" + r.address + "|" + r.owner, static_cast<u64>(r.state));
+void ServerRegistry::replace(Entry& entry, ServerRecord const& record, Seconds now) {
+  bool const is_new_entry = entry.row.id.empty();
+  if (!is_new_entry && entry.row.state != ServerState::gone) digest_ -= hash_of(entry.row);
+  entry.row = record;
+  entry.cold_until = now + record.cold_left;
+  entry.changed = now;
+  if (record.state != ServerState::gone) digest_ += hash_of(record);
 }
 
-void ServerRegistry::put(Entry& e, ServerRecord const& r, Seconds now) {
-  if (!e.row.id.empty() && e.row.state != ServerState::gone) digest_ -= mark(e.row);
-  e.row = r;
-  e.cold_until = now + r.cold_left;
-  e.changed = now;
-  if (r.state != ServerState::gone) digest_ += mark(r);
+ServerRecord const& ServerRegistry::mark_gone(Entry& entry, Seconds now) {
+  ServerRecord record = entry.row;
+  record.state = ServerState::gone;
+  replace(entry, record, now);
+  return entry.row;
 }
 
-void ServerRegistry::load(ServerRecord const& r, Seconds now) {
-  Entry& e = m_[r.id];
-  put(e, r, now);
-  e.beat = now;
+void ServerRegistry::load(ServerRecord const& record, Seconds now) {
+  Entry& entry = entries_[record.id];
+  replace(entry, record, now);
+  entry.beat = now;
 }
 
-bool ServerRegistry::join(ServerRecord const& r, Seconds now) {
-  auto const it = m_.find(r.id);
-  if (it == m_.end()) {
-    put(m_[r.id], r, now);
+bool ServerRegistry::join(ServerRecord const& record, Seconds now) {
+  auto const [it, is_new_id] = entries_.try_emplace(record.id);
+  Entry& entry = it->second;
+  if (is_new_id) {
+    replace(entry, record, now);
     return true;
   }
-  Entry& e = it->second;
-  if (r.seq < e.row.seq) return false;
-  if (r.seq == e.row.seq && r.state <= e.row.state) return false;
-  bool const news = r.state != e.row.state || r.owner != e.row.owner || r.address != e.row.address ||
-                    std::abs(now + r.cold_left - std::max(e.cold_until, now)) > 0.4;
-  put(e, r, now);
-  return news;
+  ServerRecord const& known = entry.row;
+  if (record.seq < known.seq) return false;
+  if (record.seq == known.seq && record.state <= known.state) return false;
+  Seconds const warm_up_change = std::abs(now + record.cold_left - std::max(entry.cold_until, now));
+  bool const is_news = record.state != known.state || record.owner != known.owner || record.address != known.address ||
+                       warm_up_change > kWarmUpTolerance;
+  replace(entry, record, now);
+  return is_news;
 }
 
-bool ServerRegistry::beat(ServerRecord r, std::string const& me, Seconds now) {
-  r.owner = me;
-  bool const news = join(r, now);
-  auto const it = m_.find(r.id);
-  if (it != m_.end() && it->second.row.owner == me) it->second.beat = now;
-  return news;
+bool ServerRegistry::beat(ServerRecord record, std::string const& self, Seconds now) {
+  record.owner = self;
+  bool const is_news = join(record, now);
+  auto const it = entries_.find(record.id);
+  if (it != entries_.end() && it->second.row.owner == self) it->second.beat = now;
+  return is_news;
 }
 
-std::vector<ServerRecord> ServerRegistry::expire(std::string const& me, Seconds silent, Seconds now) {
-  std::vector<ServerRecord> out;
-  for (auto& [id, e] : m_) {
-    if (e.row.owner != me || e.row.state == ServerState::gone || now - e.beat < silent) continue;
-    ServerRecord r = e.row;
-    r.state = ServerState::gone;
-    put(e, r, now);
-    out.push_back(r);
+std::vector<ServerRecord> ServerRegistry::expire(std::string const& self, Seconds timeout, Seconds now) {
+  std::vector<ServerRecord> marked;
+  for (auto& [id, entry] : entries_) {
+    if (entry.row.owner != self || entry.row.state == ServerState::gone || now - entry.beat < timeout) continue;
+    marked.push_back(mark_gone(entry, now));
   }
-  return out;
+  return marked;
 }
 
 std::vector<ServerRecord> ServerRegistry::expire_of(std::string const& owner, Seconds now) {
-  std::vector<ServerRecord> out;
-  for (auto& [id, e] : m_) {
-    if (e.row.owner != owner || e.row.state == ServerState::gone) continue;
-    ServerRecord r = e.row;
-    r.state = ServerState::gone;
-    put(e, r, now);
-    out.push_back(r);
+  std::vector<ServerRecord> marked;
+  for (auto& [id, entry] : entries_)
+    if (entry.row.owner == owner && entry.row.state != ServerState::gone) marked.push_back(mark_gone(entry, now));
+  return marked;
+}
+
+std::vector<std::string> ServerRegistry::drop_absent(std::vector<ServerRecord> const& complete, Seconds min_age,
+                                                     Seconds now) {
+  std::unordered_set<std::string> present;
+  for (ServerRecord const& record : complete)
+    present.insert(record.id);
+  std::vector<std::string> marked;
+  for (auto& [id, entry] : entries_) {
+    if (present.count(id) > 0 || entry.row.state == ServerState::gone || now - entry.changed < min_age) continue;
+    mark_gone(entry, now);
+    marked.push_back(id);
   }
-  return out;
+  return marked;
 }
 
 void ServerRegistry::forgive(Seconds now) {
-  for (auto& [id, e] : m_)
-    e.beat = now;
+  for (auto& [id, entry] : entries_)
+    entry.beat = now;
 }
 
-void ServerRegistry::purge(Seconds older, Seconds now) {
-  for (auto it = m_.begin(); it != m_.end();)
-    it = it->second.row.state == ServerState::gone && now - it->second.changed > older ? m_.erase(it) : std::next(it);
+void ServerRegistry::purge(Seconds age, Seconds now) {
+  std::erase_if(entries_, [&](auto const& item) {
+    Entry const& entry = item.second;
+    return entry.row.state == ServerState::gone && now - entry.changed > age;
+  });
 }
 
 std::vector<ServerRecord> ServerRegistry::all(Seconds now) const {
-  std::vector<ServerRecord> out;
-  out.reserve(m_.size());
-  for (auto const& [id, e] : m_) {
-    out.push_back(e.row);
-    out.back().cold_left = std::max(0.0, e.cold_until - now);
-  }
-  return out;
+  std::vector<ServerRecord> records;
+  records.reserve(entries_.size());
+  for (auto const& [id, entry] : entries_)
+    records.push_back(record_at(entry, now));
+  return records;
 }
 
-std::vector<ServerRecord> ServerRegistry::changed_since(Seconds at, Seconds now) const {
-  std::vector<ServerRecord> out;
-  for (auto const& [id, e] : m_) {
-    if (e.changed < at) continue;
-    out.push_back(e.row);
-    out.back().cold_left = std::max(0.0, e.cold_until - now);
-  }
-  return out;
+std::vector<ServerRecord> ServerRegistry::changed_since(Seconds since, Seconds now) const {
+  std::vector<ServerRecord> records;
+  for (auto const& [id, entry] : entries_)
+    if (entry.changed >= since) records.push_back(record_at(entry, now));
+  return records;
 }
 
 std::optional<ServerRecord> ServerRegistry::get(std::string const& id, Seconds now) const {
-  auto const it = m_.find(id);
-  if (it == m_.end()) return std::nullopt;
-  ServerRecord r = it->second.row;
-  r.cold_left = std::max(0.0, it->second.cold_until - now);
-  return r;
-}
-
-std::vector<std::string> ServerRegistry::drop_absent(std::vector<ServerRecord> const& full, Seconds older,
-                                                     Seconds now) {
-  std::unordered_set<std::string> have;
-  for (ServerRecord const& r : full)
-    have.insert(r.id);
-  std::vector<std::string> out;
-  for (auto& [id, e] : m_) {
-    if (have.count(id) > 0 || e.row.state == ServerState::gone || now - e.changed < older) continue;
-    ServerRecord r = e.row;
-    r.state = ServerState::gone;
-    put(e, r, now);
-    out.push_back(id);
-  }
-  return out;
+  auto const it = entries_.find(id);
+  if (it == entries_.end()) return std::nullopt;
+  return record_at(it->second, now);
 }
 
 }  // namespace dockbend
