--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -87,6 +87,11 @@
   return calls_.empty() && batch_.empty();
 }
 
+std::size_t ConsensusService::tolerated_disk_losses() const {
+  std::size_t const members = context_.committed ? context_.committed->membership.size() : 0;
+  return members == 0 ? 0 : (members - 1) / 2;
+}
+
 void ConsensusService::submit(std::function<bool(ReplicatedState&)> change,
                               std::function<void(ReplicatedState const*)> done, Seconds patience) {
   calls_.push_back(Call{std::move(change), std::move(done), steady_now() + patience});
--- a/packages/controller/include/controller/consensus_service.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -34,6 +34,8 @@
   Ballot accepted() const;
   Ballot durable() const;
   bool quiet() const;
+  // Disks that may be lost at once with a majority left.
+  std::size_t tolerated_disk_losses() const;
 
   void submit(std::function<bool(ReplicatedState&)> change, std::function<void(ReplicatedState const*)> done,
               Seconds patience);
--- a/packages/controller/include/controller/controller.hpp
+++ b/packages/controller/include/controller/controller.hpp
@@ -1,133 +1,75 @@
-// The controller: control API, consensus, registry and directory. One runs on every core machine.
+/// The controller program: control API, consensus, server registry and directory. One runs on every core machine.
 #pragma once
-#include <event2/buffer.h>
-#include <event2/event.h>
-#include <event2/http.h>
-#include <event2/keyvalq_struct.h>
-#include <unistd.h>
-
-#include <algorithm>
-#include <cmath>
-#include <cstring>
-#include <map>
-#include <set>
-
-#include "controller/consensus_service.hpp"
-#include "controller/directory_service.hpp"
-#include "controller/drain_service.hpp"
-#include "controller/idempotency_service.hpp"
-#include "controller/lease_service.hpp"
-#include "controller/membership_service.hpp"
-#include "controller/registry_service.hpp"
-#include "controller/rollout_service.hpp"
-#include "controller/survey_service.hpp"
+#include "controller/contact_prober.hpp"
+#include "controller/control_api.hpp"
+#include "controller/controller_services.hpp"
+#include "controller/digest_gossip.hpp"
+#include "controller/http_listener.hpp"
+#include "controller/inbound_sessions.hpp"
+#include "controller/outbound_peers.hpp"
 
 namespace dockbend {
 
+/// Owns all services of one controller, wires them to one another and runs their periodic work. Everything here runs
+/// on the event loop's thread. `run_daemon` makes one and calls `settings` and `term`.
 class Controller {
  public:
-  Controller(event_base* loop, Settings const& st);
-
-  void settings(Settings const& s);
+  /// Opens the disk and all listeners. Throws std::runtime_error if an address can't be bound.
+  /// `loop` must outlive the controller.
+  Controller(event_base* loop, Settings const& settings);
+  Controller(Controller const&) = delete;
+  Controller& operator=(Controller const&) = delete;
+
+  /// The settings file changed: takes over what may change while the process runs.
+  void settings(Settings const& changed);
+  /// SIGTERM: leaves in order, then breaks the loop. Calls after the first do nothing.
   void term();
 
  private:
-  static ControllerContext make_context(event_base* loop, Settings const& st);
-
-  void open_disk();
-
-  // ---- mates -----------------------------------------------------------------------
-  PeerController& controller(std::string const& ip);
-
-  u32 control_port() const;
-  Ballot ballot() const;
-
-  // Answers to what we asked over our own link.
-  void from_controller(std::string const& ip, Message const& l);
-
-  void digest(std::string const& ip, GossipDigest const& d);
-
-  // ---- incoming channels -------------------------------------------------------------
-  void took(ConnectionPtr c);
-
-  void from_session(InboundSession& p, Message const& l);
-
-  ProxyHeartbeatResponse beat_answer(InboundSession const& p) const;
-
-  // ---- contact -------------------------------------------------------------------------
-  Seconds contact_left(Seconds now) const;
-  void sees_members();
-  void ask_contact(std::string const& ip, PeerLink& l, Seconds now);
-  // A digest is a question too; who is due besides is asked with nothing else in the letter.
-  void probe(Seconds now);
-  // Those we feed hear at once whether we are in contact: they choose others while we are not.
-  void contact_changed(Seconds now);
-
-  std::vector<std::string> known() const;
-
-  // ---- register ----------------------------------------------------------------------
-  void submit(std::function<bool(ReplicatedState&)> change, std::function<void(ReplicatedState const*)> done,
-              Seconds patience);
-
-  // ---- HTTP ----------------------------------------------------------------------------
-  evhttp* serve(char const* what, void (*cb)(evhttp_request*, void*));
-
-  void answer(evhttp_request* r, void (Controller::*f)(evhttp_request*));
-  void directory(evhttp_request* r);
-
-  // The generic handler: a call and its answer are a pair of types.
-  template <class Req>
-  void call(evhttp_request* r, std::string const& body, std::function<ApiResponse(Req const&)> f) {
-    ApiResponse c;
-    try {
-      c = f(json::parse_as<Req>(body));
-    } catch (json::Fault const& e) {
-      c = error_response(400, e.what());
-    }
-    context_.write(r, c);
-  }
-
-  // Calls that change something, and reads whose answer or refusal must not be old. The others
-  // answer with what this node has; /-/Status says how fresh that is.
-  static bool only_in_contact(std::string const& uri);
-
-  void control(evhttp_request* r);
-
-  void read(evhttp_request* r);
-
-  void evacuate(evhttp_request* r, std::string const& zone, bool on);
-
-  // Disks that may be lost at once with a majority left.
-  std::size_t bears() const;
-
-  std::string status() const;
-
-  GossipDigest own_digest(bool with_mates) const;
-
-  // All mates are told if they are few; of many, some near ones by turns and a far one.
-  void tell_digests(Seconds now, bool many);
-
-  // ---- loops -----------------------------------------------------------------------------
+  static ControllerContext make_context(event_base* loop, Settings const& settings);
+  ControllerServices services();
+  /// Reads what the disk holds into all services.
+  std::unique_ptr<IdempotencyService> load_disk();
+  void connect_signals();
+  void connect_to_seeds();
+  /// Null if the settings bind no such listener.
+  std::unique_ptr<HttpListener> listen(char const* name, HttpListener::Handler handler);
+
+  void on_state_committed(bool membership_changed);
+  void on_contact_changed(bool is_in_contact);
+
+  // Periodic work: tick() runs every kTickSeconds, run_slow_steps() every kSlowStepSeconds.
   void tick();
-
-  static constexpr Seconds kSilentSessionSeconds = 30;
+  void run_fast_steps(Seconds now);
+  void run_slow_steps(Seconds now);
+  void forgive_own_stall(Seconds now);
+  void expire_old_entries(Seconds now);
+  void warn_of_few_members(Seconds now);
+  void log_counters(Seconds now);
+  void end_if_left(Seconds now);
+
+  // Services hold references to those above them: the order matters.
   ControllerContext context_;
   RegistryService registry_;
-  DirectoryService directory_service_;
+  DirectoryService directory_;
   RolloutService rollouts_;
   LeaseService leases_;
   SurveyService surveys_;
   DrainService drains_;
-  std::unique_ptr<IdempotencyService> idempotency_;
-  std::unique_ptr<MembershipService> members_;
   ConsensusService consensus_;
-  Listener door_;
-  evhttp *control_ = nullptr, *directory_ = nullptr;
-  std::unique_ptr<PeriodicTimer> tick_;
-  Seconds measured_ = 0;
-  bool warned_ = false;
-  bool was_in_contact_ = false;  // as those we feed were told last
-  Seconds start_ = 0, slow_at_ = 0, last_tick_ = 0;
+  Listener session_listener_;
+  std::unique_ptr<IdempotencyService> idempotency_;  // by pointer: made of what the disk holds
+  MembershipService membership_;
+  ContactProber prober_;
+  DigestGossip gossip_;
+  OutboundPeers peers_;
+  InboundSessions sessions_;
+  ControlApi control_api_;
+  std::unique_ptr<HttpListener> control_listener_, directory_listener_;
+  std::unique_ptr<PeriodicTimer> timer_;
+
+  Seconds started_at_ = 0, last_tick_at_ = 0, last_slow_step_at_ = 0, counters_logged_at_ = 0;
+  bool has_warned_of_few_members_ = false;
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
--- a/packages/controller/include/controller/controller_context.hpp
+++ b/packages/controller/include/controller/controller_context.hpp
@@ -107,6 +107,13 @@
       n += m.link && m.link->up() ? 1 : 0;
     return n;
   }
+  // This controller and those whose links are up.
+  std::vector<std::string> connected_addresses() const {
+    std::vector<std::string> addresses{settings.ip};
+    for (auto const& [ip, m] : controllers)
+      if (m.link && m.link->up()) addresses.push_back(ip);
+    return addresses;
+  }
   // With more mates than this nobody tells all of them everything.
   static constexpr std::size_t kMaxFullMesh = 8;
   std::string region_of_controller(std::string const& ip) const {
--- a/packages/controller/include/controller/membership_service.hpp
+++ b/packages/controller/include/controller/membership_service.hpp
@@ -25,7 +25,11 @@
   bool holds_up(Seconds now) const;
   void term(Seconds now);
 
-  void call(evhttp_request* r, std::string const& what, bool post);
+  // Calls of the control API: Member.List, Member.Remove and Member.Add.
+  std::string list() const;
+  void remove(evhttp_request* r, std::string const& ip);
+  // A node that was taken out may come back; it does so by itself.
+  void add(evhttp_request* r, std::string const& ip);
 
   template <class W>
   void write_members(W& w) const {
@@ -100,13 +104,6 @@
   // Wanted while we end for good: first answers handed on, then out of the roster.
   void leave(Seconds now);
 
-  void remove(evhttp_request* r, std::string const& ip);
-
-  // A node that was taken out may come back; it does so by itself.
-  void add(evhttp_request* r, std::string const& ip);
-
-  std::string list() const;
-
   static constexpr std::size_t most_retired = 64;  // the oldest is forgotten: it may then come back
 
   ControllerContext& context_;
--- a/packages/controller/membership_service.cpp
+++ b/packages/controller/membership_service.cpp
@@ -36,17 +36,6 @@
     LOG4CPLUS_INFO(logger_, "A node of zone " << context_.settings.zone << " came in our place: we leave the roster.");
 }
 
-void MembershipService::call(evhttp_request* r, std::string const& what, bool post) {
-  if (what == "List") return context_.write(r, ApiResponse{200, list()});
-  for (bool const out : {true, false}) {
-    std::string const pre = out ? "Remove/" : "Add/";
-    if (what.compare(0, pre.size(), pre) != 0) continue;
-    if (!post) return context_.write(r, error_response(405, "wants POST"));
-    return out ? remove(r, what.substr(pre.size())) : add(r, what.substr(pre.size()));
-  }
-  context_.write(r, error_response(404, "no such call"));
-}
-
 MembershipMonitorOptions MembershipService::plan(Bounds const& b) {
   MembershipMonitorOptions p;
   p.silent = std::max(1.0, 0.5 * b.convergeS);
