--- /dev/null
+++ b/packages/proxy/activity_log.cpp
@@ -0,0 +1,54 @@
+#include "proxy/activity_log.hpp"
+
+#include <log4cplus/loggingmacros.h>
+
+namespace dockbend {
+namespace {
+Seconds constexpr kLogInterval = 10;
+}  // namespace
+
+void ActivityLog::tick(Seconds now) {
+  log_remote_traffic(now);
+  for (; context_.connections.late > 0; --context_.connections.late)
+    context_.requests.fence().drop(ResponseRejection::late_answer);
+  log_discards(now);
+  log_rejections(now);
+  log_given_up(now);
+}
+
+void ActivityLog::log_remote_traffic(Seconds now) {
+  if (now - remote_logged_at_ <= kLogInterval) return;
+  remote_logged_at_ = now;
+  TrafficCounters& traffic = context_.traffic;
+  if (traffic.remote_attempts > 0)
+    LOG4CPLUS_INFO(logger_, "Sent to other regions: " << traffic.remote_attempts << " attempts, "
+                                                      << static_cast<u64>(traffic.remote_bytes_out) << " bytes out, "
+                                                      << static_cast<u64>(traffic.remote_bytes_in) << " in.");
+  traffic.remote_bytes_out = traffic.remote_bytes_in = 0;
+  traffic.remote_attempts = 0;
+}
+
+void ActivityLog::log_discards(Seconds now) {
+  if (now - discards_logged_at_ <= kLogInterval) return;
+  discards_logged_at_ = now;
+  if (std::string const counts = context_.requests.fence().since(); !counts.empty())
+    LOG4CPLUS_INFO(logger_, "Dropped as not the answer that was waited for: " << counts << ".");
+}
+
+void ActivityLog::log_rejections(Seconds now) {
+  if (now - rejections_logged_at_ <= kLogInterval) return;
+  rejections_logged_at_ = now;
+  log_rejected_input();
+}
+
+void ActivityLog::log_given_up(Seconds now) {
+  if (now - given_up_logged_at_ <= kLogInterval || context_.given_up.empty()) return;
+  given_up_logged_at_ = now;
+  std::string line;
+  for (auto const& [reason, count] : context_.given_up)
+    line += (line.empty() ? "" : ", ") + reason + " " + std::to_string(count);
+  context_.given_up.clear();
+  LOG4CPLUS_INFO(logger_, "Requests given up: " << line << ".");
+}
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/include/proxy/attempt_runner.hpp
@@ -0,0 +1,43 @@
+/// Chooses servers, and handles retries, late attempts and deadlines.
+#pragma once
+#include "load_balancing/load_balancer.hpp"
+#include "proxy/proxy_context.hpp"
+#include "proxy/request_flow.hpp"
+#include "proxy/upstream_sender.hpp"
+#include "proxy/usage_metering.hpp"
+
+namespace dockbend {
+
+/// A request is here from RequestAction::Do::choose until a server's answer or its deadline.
+class AttemptRunner {
+ public:
+  AttemptRunner(ProxyContext& context, RequestFlow& flow, UsageMetering& usage)
+      : context_(context), flow_(flow), usage_(usage), sender_(context) {}
+
+  /// Chooses a server and sends, or gives the request up.
+  void start(ProxiedRequest& request);
+  /// The attempt ended without an answer for the client: retries or gives up.
+  void on_failed(ProxiedRequest& request, AttemptResult result);
+  /// The request's timer fired: its deadline, a connect that takes too long, or an attempt that is late.
+  void on_timer(ProxiedRequest& request);
+
+ private:
+  EndpointQuery query_of(ProxiedRequest const& request) const;
+  void send(ProxiedRequest& request, ServerIndex server, Seconds now);
+  /// No server can take it. If it has not run, the client is told when to come back.
+  void give_up(ProxiedRequest& request, char const* reason);
+  /// Breaks off an attempt at a server that is at work and sends to another one, once all that the retry needs is
+  /// had. Nothing else runs between the choice of the server and the send to it. False: nothing has changed.
+  bool replace_late_attempt(ProxiedRequest& request, Seconds now);
+  void expire(ProxiedRequest& request, Seconds now);
+  void retire_connection(ProxiedRequest& request);
+  /// Tells the load balancer how an attempt ended. was_kept: its connection had served another request before.
+  void report_failure(ServerIndex server, AttemptResult result, bool was_kept, Seconds attempt_started_at, Seconds now);
+
+  ProxyContext& context_;
+  RequestFlow& flow_;
+  UsageMetering& usage_;
+  UpstreamSender sender_;
+};
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/include/proxy/proxied_request.hpp
@@ -0,0 +1,67 @@
+/// One client request in flight: its sockets, its timer and its state machine.
+#pragma once
+#include <event2/http.h>
+
+#include <string>
+#include <vector>
+
+#include "proxy/request_flow.hpp"
+#include "quota/quota.hpp"
+#include "request/admission.hpp"
+#include "request/request_machine.hpp"
+#include "request/request_table.hpp"
+#include "transport/event_owners.hpp"
+#include "upstream/connection_pool.hpp"
+
+struct evkeyvalq;
+
+namespace dockbend {
+
+struct ProxiedRequest;
+using RequestsInFlight = RequestTable<ProxiedRequest>;
+
+/// Invariants: client_request is answered exactly once, and the request is removed from the table right after that;
+/// connection is set exactly while the state machine is in an attempt.
+struct ProxiedRequest : AdmittedRequest {
+  /// Creates the timer, unarmed. flow is told when it fires and must outlive the request.
+  ProxiedRequest(event_base* loop, RequestFlow& flow);
+  ProxiedRequest(ProxiedRequest const&) = delete;
+
+  RequestsInFlight::Handle handle;
+  evhttp_request* client_request = nullptr;  ///< owned by the front listener's evhttp
+  evhttp_cmd_type method = EVHTTP_REQ_GET;
+  std::string target;
+  std::vector<LocationIndex> home_regions;  ///< where it may be served; empty: anywhere
+  std::vector<ServerIndex> attempted;       ///< servers that an attempt was sent to
+  ServiceIndex service_index;
+  Seconds arrived_at = 0;
+  std::size_t body_bytes = 0;
+
+  RequestMachine machine;
+
+  UpstreamConnection* connection = nullptr;  ///< of the attempt at work; owned by the connection pool
+  ServerIndex server;                        ///< of the newest attempt
+  u32 counted_attempts = 0;                  ///< attempts that usage metering has counted or skipped
+
+  u64 key_holder = 0;       ///< names this request as the holder of its idempotency key
+  u32 key_request_tag = 0;  ///< of the open request for the key; 0: none is open
+
+  bool has_waited_for_quota = false;  ///< asked the allocator for a token once; it does not ask again
+  QuotaClient::Token quota_token;
+
+  RetryState const& retry_state() const { return machine.course(); }
+  Seconds deadline() const { return retry_state().deadline(); }
+  /// Arms the timer for `at` (steady clock), at the earliest half a millisecond from now.
+  void set_timer(Seconds at);
+  void cancel_timer();
+
+ private:
+  static void timer_fired(evutil_socket_t, short, void* request);
+  RequestFlow& flow_;
+  EventOwner timer_;
+};
+
+/// Copies libevent's header list.
+Headers headers_of(evkeyvalq* list);
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/include/proxy/request_driver.hpp
@@ -0,0 +1,42 @@
+/// Leads each request from phase to phase, as its state machine decides.
+#pragma once
+#include "proxy/attempt_runner.hpp"
+#include "proxy/idempotency_client.hpp"
+#include "proxy/key_outcome_reporter.hpp"
+#include "proxy/proxy_context.hpp"
+#include "proxy/quota_gate.hpp"
+#include "proxy/request_flow.hpp"
+#include "proxy/response_receiver.hpp"
+#include "proxy/response_writer.hpp"
+#include "proxy/usage_metering.hpp"
+
+namespace dockbend {
+
+/// Owns the parts that handle one phase each; see RequestMachine for the phases.
+class RequestDriver final : public RequestFlow {
+ public:
+  RequestDriver(ProxyContext& context, std::string front);
+  RequestDriver(RequestDriver const&) = delete;
+
+  void carry_out(ProxiedRequest& request, RequestAction const& action) override;
+  void finish(ProxiedRequest& request) override;
+  void on_timer(ProxiedRequest& request) override;
+
+  ResponseWriter const& writer() const { return writer_; }
+  QuotaGate& quota() { return quota_; }
+  IdempotencyClient& idempotency() { return idempotency_; }
+  KeyOutcomeReporter& key_outcomes() { return key_outcomes_; }
+  UsageMetering& usage() { return usage_; }
+
+ private:
+  ProxyContext& context_;
+  ResponseWriter writer_;
+  KeyOutcomeReporter key_outcomes_;
+  UsageMetering usage_;
+  QuotaGate quota_;
+  IdempotencyClient idempotency_;
+  AttemptRunner attempts_;
+  ResponseReceiver receiver_;
+};
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/proxied_request.cpp
@@ -0,0 +1,39 @@
+#include "proxy/proxied_request.hpp"
+
+#include <event2/event.h>
+#include <event2/keyvalq_struct.h>
+
+#include <algorithm>
+
+namespace dockbend {
+namespace {
+Seconds constexpr kShortestTimer = 0.0005;
+}  // namespace
+
+ProxiedRequest::ProxiedRequest(event_base* loop, RequestFlow& flow)
+    : flow_(flow), timer_(event_new(loop, -1, 0, timer_fired, this)) {}
+
+void ProxiedRequest::timer_fired(evutil_socket_t, short, void* request) {
+  auto* const self = static_cast<ProxiedRequest*>(request);
+  self->flow_.on_timer(*self);
+}
+
+void ProxiedRequest::set_timer(Seconds at) {
+  Seconds const delay = std::max(kShortestTimer, at - steady_now());
+  auto const whole_seconds = static_cast<time_t>(delay);
+  timeval const interval{whole_seconds, static_cast<suseconds_t>((delay - static_cast<double>(whole_seconds)) * 1e6)};
+  event_add(timer_.get(), &interval);
+}
+
+void ProxiedRequest::cancel_timer() {
+  event_del(timer_.get());
+}
+
+Headers headers_of(evkeyvalq* list) {
+  Headers headers;
+  for (evkeyval* entry = list->tqh_first; entry != nullptr; entry = entry->next.tqe_next)
+    headers.emplace_back(entry->key, entry->value);
+  return headers;
+}
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/request_driver.cpp
@@ -0,0 +1,47 @@
+#include "proxy/request_driver.hpp"
+
+namespace dockbend {
+
+RequestDriver::RequestDriver(ProxyContext& context, std::string front)
+    : context_(context),
+      writer_(context.drain),
+      key_outcomes_(context.agent),
+      usage_(context),
+      quota_(context, *this, std::move(front)),
+      idempotency_(context, *this, writer_),
+      attempts_(context, *this, usage_),
+      receiver_(context, *this, attempts_, usage_, key_outcomes_, writer_) {
+  context_.connections.on_return.connect([this](UpstreamConnection& connection, evhttp_request* upstream_request) {
+    receiver_.on_return(connection, upstream_request);
+  });
+}
+
+void RequestDriver::carry_out(ProxiedRequest& request, RequestAction const& action) {
+  if (action.refund) quota_.refund(request);
+  if (action.claim == ClaimDisposition::not_run) key_outcomes_.report(request, KeyOutcome::not_run);
+  if (action.claim == ClaimDisposition::lost) key_outcomes_.report(request, KeyOutcome::lost);
+  if (action.why != nullptr) ++context_.given_up[action.why];
+  switch (action.what) {
+    case RequestAction::Do::claim: return idempotency_.acquire(request);
+    case RequestAction::Do::choose: return attempts_.start(request);
+    case RequestAction::Do::say:
+      writer_.write_local_reply(request.client_request, action.verdict, request.machine.id());
+      return finish(request);
+    case RequestAction::Do::wait:
+    case RequestAction::Do::pass:
+    case RequestAction::Do::repeat: break;
+  }
+}
+
+void RequestDriver::finish(ProxiedRequest& request) {
+  if (request.route->kind == schema::RouteKind::keyed) context_.drain.maintenance().answered(steady_now());
+  request.cancel_timer();
+  context_.requests.close(request);
+}
+
+void RequestDriver::on_timer(ProxiedRequest& request) {
+  if (QuotaGate::is_waiting(request)) return quota_.refuse(request);
+  attempts_.on_timer(request);
+}
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/request_intake.cpp
@@ -0,0 +1,62 @@
+#include "proxy/request_intake.hpp"
+
+#include <event2/buffer.h>
+#include <event2/http.h>
+
+#include <memory>
+
+namespace dockbend {
+namespace {
+/// What the packets round a request come to, about.
+double constexpr kRequestOverheadBytes = 150;
+
+bool may_have_chunked_body(evhttp_cmd_type method) {
+  return method == EVHTTP_REQ_POST || method == EVHTTP_REQ_PUT || method == EVHTTP_REQ_PATCH;
+}
+std::size_t body_bytes_of(evhttp_request* request) {
+  return evbuffer_get_length(evhttp_request_get_input_buffer(request));
+}
+}  // namespace
+
+void RequestIntake::on_request(evhttp_request* client_request) {
+  Seconds const now = steady_now();
+  Headers const headers = headers_of(evhttp_request_get_input_headers(client_request));
+  std::size_t const body_bytes = body_bytes_of(client_request);
+  context_.traffic.bytes_in += static_cast<double>(body_bytes + size_of(headers)) + kRequestOverheadBytes;
+  IncomingRequest const incoming{headers, evhttp_request_get_uri(client_request), body_bytes,
+                                 may_have_chunked_body(evhttp_request_get_command(client_request))};
+  AdmissionResult result =
+      admit(incoming, context_.has_configuration ? &context_.configuration : nullptr, context_.configuration.limits(),
+            context_.drain.is_draining_for_maintenance(), random01());
+  if (result.why != nullptr) ++context_.given_up[result.why];
+  if (!result.ok) return refuse(client_request, result);
+  ProxiedRequest& request = open(client_request, std::move(result), now);
+  context_.load_balancer.budget(request.service_index).errand(now);
+  context_.traffic_observer.errand(request.route->name, context_.load_balancer.pool_name(request.service_index),
+                                   request.homes, request.upload, now);
+  quota_.admit(request, now);
+}
+
+void RequestIntake::refuse(evhttp_request* client_request, AdmissionResult const& result) {
+  if (result.no.code == 400) ++rejected_input().calls;
+  writer_.write_local_reply(client_request, result.no, result.id);
+}
+
+ProxiedRequest& RequestIntake::open(evhttp_request* client_request, AdmissionResult&& result, Seconds now) {
+  auto owner = std::make_unique<ProxiedRequest>(context_.loop, flow_);
+  ProxiedRequest& request = *owner;
+  static_cast<AdmittedRequest&>(request) = std::move(*result.ok);
+  request.client_request = client_request;
+  request.method = evhttp_request_get_command(client_request);
+  request.target = evhttp_request_get_uri(client_request);
+  request.arrived_at = now;
+  request.body_bytes = body_bytes_of(client_request);
+  request.service_index = routing_.index_of(*request.service);
+  request.machine = RequestMachine(std::move(result.id), request.route->kind == schema::RouteKind::keyed,
+                                   RetryState(request.repeatable, request.route->max_attempts, now + request.left));
+  for (std::string const& home : request.homes)
+    request.home_regions.push_back(context_.load_balancer.region(home));
+  return context_.requests.open(std::move(owner));
+}
+
+}  // namespace dockbend
--- /dev/null
+++ b/packages/proxy/response_writer.cpp
@@ -0,0 +1,76 @@
+#include "proxy/response_writer.hpp"
+
+#include <event2/buffer.h>
+#include <event2/http.h>
+
+#include <cstdio>
+
+#include "transport/event_owners.hpp"
+
+namespace dockbend {
+
+void ResponseWriter::close_if_draining(evkeyvalq* headers) const {
+  if (drain_.closes_connections()) evhttp_add_header(headers, "Connection", "close");
+}
+
+void ResponseWriter::write_local_reply(evhttp_request* client_request, LocalReply const& reply,
+                                       std::string const& attempt_id) const {
+  evkeyvalq* const headers = evhttp_request_get_output_headers(client_request);
+  if (!attempt_id.empty()) evhttp_add_header(headers, "X-Attempt-Id", attempt_id.c_str());
+  if (reply.retry_after >= 0) {
+    char text[32];
+    std::snprintf(text, sizeof text, "%.3f", reply.retry_after);
+    evhttp_add_header(headers, "Retry-After", text);
+  }
+  if (reply.close || drain_.closes_connections()) evhttp_add_header(headers, "Connection", "close");
+  evhttp_add_header(headers, "Content-Type", "text/plain");
+  BufferOwner const body(evbuffer_new());
+  evbuffer_add_printf(body.get(), "%s\n", reply.reason);
+  evhttp_send_reply(client_request, reply.code, reply.reason, body.get());
+}
+
+void ResponseWriter::forward(ProxiedRequest& request, evhttp_request* upstream_request,
+                             UpstreamResponse const& response, evbuffer* body) const {
+  evkeyvalq* const headers = evhttp_request_get_output_headers(request.client_request);
+  for (auto const& [name, value] : response.heads)
+    if (!hop_only(name) || (response.head && same_name(name, "Content-Length")))
+      evhttp_add_header(headers, name.c_str(), value.c_str());
+  close_if_draining(headers);
+  char const* const line = evhttp_request_get_response_code_line(upstream_request);
+  evhttp_send_reply(request.client_request, response.code,
+                    line != nullptr && *line != '\0' ? line : reason_of(response.code), body);
+}
+
+void ResponseWriter::write_stored_answer(ProxiedRequest& request, StoredAnswer const& answer) const {
+  evkeyvalq* const headers = evhttp_request_get_output_headers(request.client_request);
+  for (std::string const& header : answer.heads) {
+    auto const colon = header.find(':');
+    if (colon == std::string::npos) continue;
+    std::string const name = header.substr(0, colon);
+    if (same_name(name, "X-Attempt-Id")) continue;
+    evhttp_add_header(headers, name.c_str(), header.substr(colon + 1).c_str());
+  }
+  evhttp_add_header(headers, "X-Attempt-Id", request.machine.id().c_str());
+  close_if_draining(headers);
+  BufferOwner const body(evbuffer_new());
+  evbuffer_add(body.get(), answer.body.data(), answer.body.size());
+  evhttp_send_reply(request.client_request, static_cast<int>(answer.code), answer.reason.c_str(), body.get());
+}
+
+StoredAnswer make_stored_answer(ProxiedRequest const& request, evhttp_request* upstream_request,
+                                UpstreamResponse const& response, evbuffer* body) {
+  StoredAnswer answer;
+  answer.key = request.key;
+  answer.holder = request.key_holder;
+  answer.homes = request.homes;
+  answer.code = static_cast<u32>(response.code);
+  char const* const line = evhttp_request_get_response_code_line(upstream_request);
+  answer.reason = line != nullptr ? line : "OK";
+  for (auto const& [name, value] : response.heads)
+    if (!hop_only(name) && !same_name(name, "Date")) answer.heads.push_back(name + ":" + value);
+  answer.body.resize(response.body);
+  evbuffer_copyout(body, answer.body.data(), response.body);
+  return answer;
+}
+
+}  // namespace dockbend
--- a/packages/request/include/request/request_table.hpp
+++ b/packages/request/include/request/request_table.hpp
@@ -9,7 +9,7 @@
 
 namespace dockbend {
 
-// T has h (its handle), tag (of its ask for a claim, 0: none open) and chan (of its
+// T has handle (its own), key_request_tag (of its ask for a claim, 0: none open) and connection (of its
 // attempt, null: none). Invariants: a tag is used once and answered once; no tag is left of
 // a request that was closed; what is nobody's any more is counted and dropped.
 template <class T, class Turns = Generations>
@@ -19,26 +19,26 @@
 
   T& open(std::unique_ptr<T> x) {
     T& t = *x;
-    t.h = slab_.add(std::move(x));
+    t.handle = slab_.add(std::move(x));
     return t;
   }
   void close(T& t) {
-    if (t.tag != 0) asks_.erase(t.tag);
-    slab_.drop(t.h);
+    if (t.key_request_tag != 0) asks_.erase(t.key_request_tag);
+    slab_.drop(t.handle);
   }
   T* find(Handle h) { return slab_.get(h); }
   // Whose attempt this channel, taken for owner, carries; null: nobody's any more.
   template <class C>
   T* on(Handle owner, C const* chan) {
     T* const t = slab_.get(owner);
-    if (t != nullptr && t->chan == chan) return t;
+    if (t != nullptr && t->connection == chan) return t;
     fence_.drop(ResponseRejection::late_answer);
     return nullptr;
   }
   u32 ask(T& t) {
-    t.tag = ++next_;
-    asks_[t.tag] = t.h;
-    return t.tag;
+    t.key_request_tag = ++next_;
+    asks_[t.key_request_tag] = t.handle;
+    return t.key_request_tag;
   }
   T* asked(u32 tag) {
     return asked(tag, [](T const&) { return true; });
@@ -53,11 +53,11 @@
       return nullptr;
     }
     if (it != asks_.end()) asks_.erase(it);
-    if (t == nullptr || t->tag != tag) {
+    if (t == nullptr || t->key_request_tag != tag) {
       fence_.drop(ResponseRejection::late_claim);
       return nullptr;
     }
-    t->tag = 0;
+    t->key_request_tag = 0;
     return t;
   }
   // No open ask will be answered any more.
@@ -66,8 +66,8 @@
     std::unordered_map<u32, Handle> l;
     l.swap(asks_);
     for (auto const& [tag, h] : l)
-      if (T* const t = slab_.get(h); t != nullptr && t->tag == tag) {
-        t->tag = 0;
+      if (T* const t = slab_.get(h); t != nullptr && t->key_request_tag == tag) {
+        t->key_request_tag = 0;
         f(*t);
       }
   }
--- a/tests/request/request_machine_test.cpp
+++ b/tests/request/request_machine_test.cpp
@@ -66,9 +66,9 @@
   };
   using Table = RequestTable<Req>;
   struct Req {
-    typename Table::Handle h;
-    u32 tag = 0;
-    Conn* chan = nullptr;
+    typename Table::Handle handle;
+    u32 key_request_tag = 0;
+    Conn* connection = nullptr;
     BasicRequestMachine<P> core;
     std::string id, key;
     u64 holder = 0;
@@ -191,7 +191,7 @@
     r->core = BasicRequestMachine<P>(id, s == Sort::keyed, RetryState(s == Sort::idempotent, 3, now_ + 2));
     if (s != Sort::idempotent) once_.insert(id);
     Req& q = table_.open(std::move(r));
-    typename Table::Handle const h = q.h;
+    typename Table::Handle const h = q.handle;
     carry(q, q.core.admitted());
     return h;
   }
@@ -216,14 +216,14 @@
   }
   void tick() {
     std::vector<typename Table::Handle> all;
-    table_.each([&](Req const& q) { all.push_back(q.h); });
+    table_.each([&](Req const& q) { all.push_back(q.handle); });
     now_ += 0.05;
     for (auto const h : all)
       if (Req* const q = table_.find(h)) timer(*q);
   }
   void timer(Req& q) {
-    bool const sent = q.chan != nullptr && q.chan->sent;
-    switch (q.core.course().due(now_, q.chan != nullptr, sent, draining_)) {
+    bool const sent = q.connection != nullptr && q.connection->sent;
+    switch (q.core.course().due(now_, q.connection != nullptr, sent, draining_)) {
       case RetryState::Due::expired: let_go(q); return carry(q, q.core.expired(sent));
       case RetryState::Due::unsent: return ended(q, AttemptResult::unsent);
       case RetryState::Due::late: {
@@ -274,8 +274,8 @@
     }
     c->busy = true;
     c->sent = false;
-    c->owner = q.h.ptr();
-    q.chan = c;
+    c->owner = q.handle.ptr();
+    q.connection = c;
     q.core.began(now_, 0.5, 0.25);
     if (fresh)
       post(Msg{[this, c, id = q.id, key = q.key](Spoil) {
@@ -292,10 +292,10 @@
     post(Msg{[this, &c, id, key](Spoil sp) { serve(c, id, key, sp); }, &c, true});
   }
   void let_go(Req& q) {
-    if (q.chan == nullptr) return;
-    q.chan->busy = false;
-    if (S::cuts) q.chan->dead = true;
-    q.chan = nullptr;
+    if (q.connection == nullptr) return;
+    q.connection->busy = false;
+    if (S::cuts) q.connection->dead = true;
+    q.connection = nullptr;
   }
   void ended(Req& q, AttemptResult e) {
     let_go(q);
@@ -318,7 +318,7 @@
     if (q == nullptr) return;
     AttemptResult const e = q->core.judge(r).end;
     if (e != AttemptResult::whole) return ended(*q, e);
-    q->chan = nullptr;
+    q->connection = nullptr;
     c.busy = false;
     RequestAction const s = q->core.ended(e, now_, 0.1, [] { return true; });
     if (s.claim == ClaimDisposition::returned) tell(*q, s.claim);
