--- a/packages/controller/drain_service.cpp
+++ b/packages/controller/drain_service.cpp
@@ -1,295 +1,366 @@
 #include "controller/drain_service.hpp"
 
+#include <algorithm>
+#include <cmath>
+
+#include "controller/call_parameters.hpp"
+
 namespace dockbend {
 
-DrainService::DrainService(ControllerContext& h, DirectoryService& si, RegistryService& se, SurveyService& su,
-                           LeaseService& d)
-    : context_(h),
-      directory_service_(si),
-      registry_(se),
-      surveys_(su),
-      leases_(d),
-      nodes_(node_plan(h.settings)),
-      rotation_(server_plan(h.settings)) {
-  if (h.settings.drainHook) hook_ = std::make_unique<PlatformClient>(h.loop, *h.settings.drainHook);
+namespace {
+
+/// Some clients keep a list of proxies for a multiple of the time that they are told to.
+double constexpr kMaxListAgeInTtls = 3;
+/// Beyond the bound for proxies to learn of a draining server.
+Seconds constexpr kSpreadMargin = 0.5;
+Seconds constexpr kPlanPeriod = 0.4;
+Seconds constexpr kAskPeriod = 1.0;
+/// How long the steps of one plan may wait for a majority.
+Seconds constexpr kSubmitPatience = 1.0;
+Seconds constexpr kHookCall = 1.0;
+Seconds constexpr kHookPeriod = 1.0;
+/// A proxy not heard from for this long is taken as dark.
+Seconds constexpr kFreshFor = 2.5;
+/// The least that the longest request is taken to last.
+Seconds constexpr kMinLongestRequest = 5;
+/// What a server bears while it warms up, as a part of its capacity.
+double constexpr kWarmingPartOfCapacity = 0.25;
+
+struct CommandPath {
+  char const* prefix;
+  DrainCommand command;
+};
+CommandPath constexpr kCommandPaths[] = {{"Pause/", DrainCommand::pause},
+                                         {"Resume/", DrainCommand::resume},
+                                         {"Abort/", DrainCommand::abort},
+                                         {"Return/", DrainCommand::take_back}};
+
+bool is_out(DrainUnit const& unit) {
+  return unit.stage != DrainStage::waiting && unit.stage != DrainStage::back;
+}
+
+bool is_success(int http_code) {
+  return http_code >= 200 && http_code <= 299;
+}
+
+double rounded_to_tenths(Seconds duration) {
+  return std::round(duration * 10) / 10;
+}
+
+using UnitsByName = std::map<std::string, DrainUnit>;
+
+UnitsByName units_out(ReplicatedState const& state) {
+  UnitsByName units;
+  for (DrainUnit const& unit : state.units)
+    if (is_out(unit)) units.emplace(unit.name, unit);
+  return units;
+}
+
+bool have_same_names(UnitsByName const& a, UnitsByName const& b) {
+  return a.size() == b.size() &&
+         std::equal(a.begin(), a.end(), b.begin(), [](auto const& x, auto const& y) { return x.first == y.first; });
+}
+
+ProxyObservation observation_of(ProxyEntry const& proxy, Seconds now) {
+  ProxyObservation observation;
+  observation.front = proxy.front;
+  observation.zone = proxy.zone;
+  observation.region = proxy.region;
+  observation.ready = proxy.ready;
+  observation.fresh = now - proxy.heard < kFreshFor;
+  observation.load = proxy.load;
+  observation.told = static_cast<DrainStage>(std::min<u32>(proxy.drain.stage, static_cast<u32>(DrainStage::back)));
+  observation.keyed = proxy.drain.keyed;
+  observation.uploads = proxy.drain.uploads;
+  observation.incarnation = proxy.drain.incarnation;
+  observation.cordoned_for = proxy.drain.incarnation != 0 ? proxy.drain.since + (now - proxy.heard) : 0;
+  observation.current = proxy.current;
+  return observation;
+}
+
+void write_run(JsonWriter& json, DrainRun const& run) {
+  write_member(json, "id", std::to_string(run.id));
+  write_member(json, "state", pass_state_str(run.state));
+  write_member(json, "back", std::to_string(run.back) + "/" + std::to_string(run.total));
+  write_member(json, "headroom", run.headroom);
+  write_member(json, "why", run.why);
+}
+
+}  // namespace
+
+DrainService::DrainService(ControllerContext& context, DirectoryService& directory_service, RegistryService& registry,
+                           SurveyService& surveys, LeaseService& leases)
+    : context_(context),
+      directory_service_(directory_service),
+      registry_(registry),
+      leases_(leases),
+      open_work_(directory_service, surveys),
+      proxy_planner_(proxy_options(context.settings)),
+      server_planner_(server_options(context.settings)) {
+  if (context.settings.drainHook)
+    release_hook_ = std::make_unique<PlatformClient>(context.loop, *context.settings.drainHook);
+  leases.add_role(kDrainRole, *this);
 }
 
-void DrainService::see() {
+ProxyDrainOptions DrainService::proxy_options(Settings const& settings) {
+  ProxyDrainOptions options;
+  options.old_lists = kMaxListAgeInTtls * settings.bounds.ttlMaxS;
+  return options;
+}
+
+ServerDrainOptions DrainService::server_options(Settings const& settings) {
+  ServerDrainOptions options;
+  options.spread = settings.bounds.drainBoundS + kSpreadMargin;
+  return options;
+}
+
+void DrainService::on_committed() {
   if (!context_.committed) return;
-  std::map<std::string, DrainUnit> out;
-  for (DrainUnit const& u : context_.committed->units)
-    if (u.stage != DrainStage::waiting && u.stage != DrainStage::back) out.emplace(u.name, u);
-  bool const more =
-      out.size() != context_.out.size() || !std::equal(out.begin(), out.end(), context_.out.begin(),
-                                                       [](auto const& a, auto const& b) { return a.first == b.first; });
-  context_.out = std::move(out);
-  if (more) registry_.orders_changed();
+  UnitsByName units = units_out(*context_.committed);
+  bool const has_changed = !have_same_names(units, context_.out);
+  context_.out = std::move(units);
+  if (has_changed) registry_.orders_changed();
 }
 
+bool DrainService::is_wanted() const {
+  return context_.committed && std::any_of(context_.committed->passes.begin(), context_.committed->passes.end(),
+                                           [](DrainRun const& run) { return !is_over(run.state); });
+}
+
+bool DrainService::has_server_run() const {
+  return std::any_of(context_.committed->passes.begin(), context_.committed->passes.end(),
+                     [](DrainRun const& run) { return run.servers && !is_over(run.state); });
+}
+
+// Steps
+
 void DrainService::tick(Seconds now) {
-  if (!context_.committed || !wanted()) return;
-  if (!leases_.may("drain", now, 0)) {
-    if (held_) {
-      nodes_.forget();
-      rotation_.forget();
-      heard_.clear();
-      if (hook_) hook_->reset();
-    }
-    held_ = false;
-    return;
-  }
-  held_ = true;
-  if (now - stepped_ < 0.4 || busy_) return;
-  stepped_ = now;
+  if (!is_wanted()) return;
+  if (!leases_.may_act(kDrainRole, now, 0)) return stop_acting();
+  was_acting_ = true;
+  if (now - planned_at_ < kPlanPeriod || is_submitting_) return;
+  planned_at_ = now;
   if (!context_.in_contact()) return;
-  if (rotating()) ask_holdings(now);
-  DrainActions m = nodes_.step(*context_.committed, seen_nodes(now), now);
-  DrainActions const r = rotation_.step(*context_.committed, seen_servers(now), now);
-  m.moves.insert(m.moves.end(), r.moves.begin(), r.moves.end());
-  m.words.insert(m.words.end(), r.words.begin(), r.words.end());
-  if (!m.empty()) bring(m);
-  call_hook(now);
-}
-
-void DrainService::call(evhttp_request* r, std::string const& what, bool servers, bool post, std::string const& body) {
-  if (what == "Status") return context_.write(r, ApiResponse{200, status(servers)});
-  if (!post) return context_.write(r, error_response(405, "wants POST"));
-  if (what == "Start") {
-    try {
-      DrainOrder o = json::parse_as<DrainOrder>(body);
-      o.servers = servers;
-      if (ApiResponse const c = check_call(o); c.code != 200) return context_.write(r, c);
-      return context_.order(r, StartDrain(o, context_.known()));
-    } catch (json::Fault const& e) {
-      return context_.write(r, error_response(400, e.what()));
-    }
-  }
-  for (auto const& [pre, o] : {std::pair{"Pause/", DrainCommand::pause},
-                               {"Resume/", DrainCommand::resume},
-                               {"Abort/", DrainCommand::abort},
-                               {"Return/", DrainCommand::take_back}})
-    if (what.rfind(pre, 0) == 0) {
-      std::string const rest = what.substr(std::strlen(pre));
-      auto const cut = rest.find('/');
-      return command_call(r, rest.substr(0, cut), o, cut == std::string::npos ? "" : rest.substr(cut + 1));
-    }
-  context_.write(r, error_response(404, "no such call"));
-}
-
-ApiResponse DrainService::check_call(DrainOrder const& o) const {
-  try {
-    check(o);
-  } catch (DrainOrderError const& e) {
-    return error_response(e.code, e.what());
+  if (has_server_run()) ask_open_work(now);
+  plan_steps(now);
+  call_release_hook(now);
+}
+
+/// What was observed as the holder says nothing about a later time as the holder.
+void DrainService::stop_acting() {
+  if (was_acting_) {
+    proxy_planner_.forget();
+    server_planner_.forget();
+    open_work_.forget_reports();
+    if (release_hook_) release_hook_->reset();
   }
-  return {200, "{}"};
-}
-
-void DrainService::command_call(evhttp_request* r, std::string const& id, DrainCommand o, std::string const& unit) {
-  char* end = nullptr;
-  u64 const n = std::strtoull(id.c_str(), &end, 10);
-  if (id.empty() || *end != '\0') return context_.write(r, error_response(400, "id: wants a number"));
-  context_.order(r, ControlDrain(n, o, unit, context_.known()));
-}
-
-std::string DrainService::status(bool servers) const {
-  rapidjson::StringBuffer sb;
-  rapidjson::Writer<rapidjson::StringBuffer> w(sb);
-  w.StartObject();
-  Lease const* t = context_.committed ? context_.committed->term("drain") : nullptr;
-  w.Key("holder");
-  w.String(t == nullptr ? "" : t->holder.c_str());
-  w.Key("passes");
-  w.StartArray();
-  if (context_.committed)
-    for (DrainRun const& p : context_.committed->passes) {
-      if (p.servers != servers) continue;
-      w.StartObject();
-      w.Key("id");
-      w.String(std::to_string(p.id).c_str());
-      w.Key("state");
-      w.String(pass_state_str(p.state));
-      w.Key("back");
-      w.String((std::to_string(p.back) + "/" + std::to_string(p.total)).c_str());
-      w.Key("headroom");
-      w.Double(p.headroom);
-      w.Key("why");
-      w.String(p.why.c_str());
-      w.EndObject();
-    }
-  w.EndArray();
-  w.Key("units");
-  w.StartArray();
-  Seconds const now = steady_now();
-  if (context_.committed)
-    for (DrainUnit const& u : context_.committed->units) {
-      DrainRun const* p = context_.committed->pass(u.pass);
-      if (p == nullptr || p->servers != servers) continue;
-      w.StartObject();
-      w.Key("pass");
-      w.String(std::to_string(u.pass).c_str());
-      w.Key("name");
-      w.String(u.name.c_str());
-      w.Key(servers ? "service" : "node");
-      w.String(u.node.c_str());
-      w.Key("wave");
-      w.Uint(u.wave);
-      w.Key("stage");
-      w.String(stage_str(u.stage));
-      if (servers) {
-        write_held(w, u, now);
-      } else if (auto const it = directory_service_.catalog().rows().find(u.name);
-                 it != directory_service_.catalog().rows().end()) {
-        w.Key("keyed");
-        w.Uint(it->second.drain.keyed);
-        w.Key("uploads");
-        w.Uint(it->second.drain.uploads);
-      }
-      w.EndObject();
-    }
-  w.EndArray();
-  w.EndObject();
-  return std::string(sb.GetString(), sb.GetSize());
-}
-
-bool DrainService::wanted() const {
-  return context_.committed && std::any_of(context_.committed->passes.begin(), context_.committed->passes.end(),
-                                           [](DrainRun const& p) { return !is_over(p.state); });
+  was_acting_ = false;
 }
 
-ProxyDrainOptions DrainService::node_plan(Settings const& st) {
-  ProxyDrainOptions p;
-  p.old_lists = 3 * st.bounds.ttlMaxS;  // some clients keep a list three times as long as told
-  return p;
+void DrainService::plan_steps(Seconds now) {
+  DrainActions actions = proxy_planner_.step(*context_.committed, proxy_observations(now), now);
+  DrainActions const more = server_planner_.step(*context_.committed, server_observations(now), now);
+  actions.moves.insert(actions.moves.end(), more.moves.begin(), more.moves.end());
+  actions.words.insert(actions.words.end(), more.words.begin(), more.words.end());
+  if (!actions.empty()) submit_actions(actions);
 }
 
-ServerDrainOptions DrainService::server_plan(Settings const& st) {
-  ServerDrainOptions p;
-  p.spread = st.bounds.drainBoundS + 0.5;
-  return p;
+/// Once a second, of the servers that the planner is interested in now.
+void DrainService::ask_open_work(Seconds now) {
+  if (now - asked_at_ < kAskPeriod) return;
+  asked_at_ = now;
+  open_work_.ask(server_planner_.interest(*context_.committed), longest_request(), now);
 }
 
-bool DrainService::rotating() const {
-  return std::any_of(context_.committed->passes.begin(), context_.committed->passes.end(),
-                     [](DrainRun const& p) { return p.servers && !is_over(p.state); });
-}
-
-std::vector<ProxyObservation> DrainService::seen_nodes(Seconds now) const {
-  std::vector<ProxyObservation> v;
-  for (auto const& [f, s] : directory_service_.catalog().rows()) {
-    ProxyObservation n;
-    n.front = f;
-    n.zone = s.zone;
-    n.region = s.region;
-    n.ready = s.ready;
-    n.fresh = now - s.heard < 2.5;
-    n.load = s.load;
-    n.told = static_cast<DrainStage>(std::min<u32>(s.drain.stage, static_cast<u32>(DrainStage::back)));
-    n.keyed = s.drain.keyed;
-    n.uploads = s.drain.uploads;
-    n.incarnation = s.drain.incarnation;
-    n.cordoned_for = s.drain.incarnation != 0 ? s.drain.since + (now - s.heard) : 0;
-    n.current = s.current;
-    v.push_back(std::move(n));
-  }
-  return v;
-}
-
-void DrainService::ask_holdings(Seconds now) {
-  if (now - asked_ < 1.0) return;
-  asked_ = now;
-  std::vector<std::string> const ids = rotation_.interest(*context_.committed);
-  for (std::string const& id : ids)
-    asked_at_[id] = now;
-  std::erase_if(asked_at_, [&](auto const& x) { return now - x.second > 2.5; });
-  surveys_.ask_held(ids, [this](TrafficSurvey const& s) {
-    Heard& x = heard_[s.front];
-    x.at = steady_now();
-    x.held = s.held;
-    x.had_any = true;
-  });
-  for (auto const& [f, s] : directory_service_.catalog().rows())
-    heard_[f].known = now;
-  // Its row has been gone for as long: what it began has come to its end.
-  std::erase_if(heard_, [&, far = kMaxBodyBytes()](auto const& x) {
-    return now - std::max(x.second.at, x.second.known) > far + 1;
-  });
+/// The longest that a request may last, by the routes in force.
+Seconds DrainService::longest_request() {
+  if (longest_request_of_ == context_.view.ballot && longest_request_ != 0) return longest_request_;
+  longest_request_of_ = context_.view.ballot;
+  longest_request_ = kMinLongestRequest;
+  CompiledConfiguration const configuration = CompiledConfiguration::from(context_.view.items);
+  for (auto const& [key, route] : configuration.all_lanes())
+    longest_request_ = std::max(longest_request_, route->deadline);
+  return longest_request_;
+}
+
+std::vector<ProxyObservation> DrainService::proxy_observations(Seconds now) const {
+  std::vector<ProxyObservation> observations;
+  for (auto const& [front, proxy] : directory_service_.catalog().rows())
+    observations.push_back(observation_of(proxy, now));
+  return observations;
 }
 
-Seconds DrainService::kMaxBodyBytes() {
-  if (longest_of_ != context_.view.ballot || longest_ == 0) {
-    longest_of_ = context_.view.ballot;
-    longest_ = 5;
-    CompiledConfiguration const man = CompiledConfiguration::from(context_.view.items);
-    for (auto const& [k, l] : man.all_lanes())
-      longest_ = std::max(longest_, l->deadline);
+/// Empty if no run is about servers.
+std::vector<ServerObservation> DrainService::server_observations(Seconds now) const {
+  std::vector<ServerObservation> observations;
+  if (!has_server_run()) return observations;
+  OpenWorkCollector::OpenWorkByServer const open_work = open_work_.by_server();
+  bool const is_complete = open_work_.is_complete(now);
+  for (auto const& [id, entry] : registry_.roll().entries()) {
+    ServerObservation server;
+    server.id = id;
+    server.service = entry.row.service;
+    server.zone = entry.row.zone;
+    server.region = context_.settings.region_of(entry.row.zone);
+    server.present = entry.row.state != ServerState::gone;
+    server.ready = entry.row.state == ServerState::ready;
+    server.slots = entry.cold_until > now ? kWarmingPartOfCapacity * entry.row.capacity : entry.row.capacity;
+    if (auto const it = open_work.find(id); it != open_work.end()) server.held = it->second;
+    server.told = is_complete && open_work_.covers(id);
+    observations.push_back(std::move(server));
   }
-  return longest_;
-}
-
-std::vector<ServerObservation> DrainService::seen_servers(Seconds now) const {
-  std::vector<ServerObservation> v;
-  if (!rotating()) return v;
-  std::map<std::string, OpenWork> held;
-  bool all = !heard_.empty();
-  for (auto const& [f, x] : heard_) {
-    all = all && x.had_any && now - x.at < 2.5;
-    for (OpenWork const& h : x.held)
-      held[h.id].add(h);
+  return observations;
+}
+
+/// The steps count only under the fencing token that they were worked out under.
+void DrainService::submit_actions(DrainActions const& actions) {
+  is_submitting_ = true;
+  context_.submit([this, actions, fence = leases_.fence(kDrainRole)](
+                      ReplicatedState& state) { return apply_under_fence(state, actions, fence); },
+                  [this, actions](ReplicatedState const* state) {
+                    is_submitting_ = false;
+                    if (state != nullptr) log_transitions(actions);
+                  },
+                  kSubmitPatience);
+}
+
+bool DrainService::apply_under_fence(ReplicatedState& state, DrainActions const& actions, u64 fence) const {
+  Lease const* lease = state.term(kDrainRole);
+  if (lease == nullptr || lease->fence != fence || lease->holder != context_.settings.nodeName) return false;
+  return apply(state, actions);
+}
+
+void DrainService::log_transitions(DrainActions const& actions) const {
+  for (StageTransition const& move : actions.moves)
+    LOG4CPLUS_INFO(logger_, "Drain run " << move.pass << ": " << move.name << " goes from " << stage_str(move.from)
+                                         << " to " << stage_str(move.to) << ".");
+}
+
+// The operator's release hook
+
+/// Names an empty proxy to the operator's hook, which restarts it. A call without a clear answer is repeated.
+void DrainService::call_release_hook(Seconds now) {
+  if (!release_hook_ || release_hook_->busy() || now < next_hook_call_at_) return;
+  if (!leases_.may_act(kDrainRole, now, kHookCall)) return;
+  DrainUnit const* unit = next_to_release();
+  if (unit == nullptr) return;
+  next_hook_call_at_ = now + kHookPeriod;
+  post_release(*unit);
+}
+
+DrainUnit const* DrainService::next_to_release() const {
+  for (DrainUnit const& unit : context_.committed->units) {
+    DrainRun const* run = context_.committed->pass(unit.pass);
+    if (unit.stage == DrainStage::empty && run != nullptr && !run->servers) return &unit;
   }
-  for (auto const& [id, e] : registry_.roll().entries()) {
-    ServerObservation s;
-    s.id = id;
-    s.service = e.row.service;
-    s.zone = e.row.zone;
-    s.region = context_.settings.region_of(e.row.zone);
-    s.present = e.row.state != ServerState::gone;
-    s.ready = e.row.state == ServerState::ready;
-    s.slots = e.cold_until > now ? 0.25 * e.row.capacity : e.row.capacity;
-    if (auto const it = held.find(id); it != held.end()) s.held = it->second;
-    s.told = all && asked_at_.count(id) > 0;
-    v.push_back(std::move(s));
+  return nullptr;
+}
+
+void DrainService::post_release(DrainUnit const& unit) {
+  std::string const node = unit.node.empty() ? unit.name : unit.node;
+  std::string const body = "{\"pass\":\"" + std::to_string(unit.pass) + "\",\"address\":\"" + unit.name + "\"}";
+  release_hook_->post(
+      "/release/" + node,
+      {{"X-Duty-Holder", context_.settings.nodeName}, {"X-Fence-Number", std::to_string(leases_.fence(kDrainRole))}},
+      body, kHookCall, [this, unit](int code, Seconds) { on_release_answer(unit, code); });
+}
+
+void DrainService::on_release_answer(DrainUnit const& unit, int code) {
+  if (!is_success(code)) return;
+  DrainActions actions;
+  actions.moves.push_back(
+      StageTransition{unit.pass, unit.name, DrainStage::empty, DrainStage::released, unit.incarnation});
+  submit_actions(actions);
+}
+
+// Calls of operators
+
+void DrainService::call(evhttp_request* http_request, std::string const& what, bool servers, bool is_post,
+                        std::string const& body) {
+  if (what == "Status") return context_.write(http_request, ApiResponse{200, status_json(servers)});
+  if (!is_post) return context_.write(http_request, error_response(405, "wants POST"));
+  if (what == "Start") return start_call(http_request, servers, body);
+  for (auto const& [prefix, command] : kCommandPaths)
+    if (what.starts_with(prefix))
+      return command_call(http_request, command, what.substr(std::string_view(prefix).size()));
+  context_.write(http_request, error_response(404, "no such call"));
+}
+
+void DrainService::start_call(evhttp_request* http_request, bool servers, std::string const& body) {
+  DrainOrder order;
+  try {
+    order = json::parse_as<DrainOrder>(body);
+    order.servers = servers;
+    check(order);
+  } catch (json::Fault const& e) {
+    return context_.write(http_request, error_response(400, e.what()));
+  } catch (DrainOrderError const& e) {
+    return context_.write(http_request, error_response(e.code, e.what()));
   }
-  return v;
-}
-
-void DrainService::bring(DrainActions const& m) {
-  busy_ = true;
-  u64 const fence = leases_.fence("drain");
-  context_.submit(
-      [this, m, fence](ReplicatedState& s) {
-        Lease const* t = s.term("drain");
-        if (t == nullptr || t->fence != fence || t->holder != context_.settings.nodeName) return false;
-        return apply(s, m);
-      },
-      [this, m](ReplicatedState const* s) {
-        busy_ = false;
-        if (s == nullptr) return;
-        for (StageTransition const& x : m.moves)
-          LOG4CPLUS_INFO(logger_, "Pass " << x.pass << ": " << x.name << " " << stage_str(x.from) << " to "
-                                          << stage_str(x.to) << ".");
-      },
-      1.0);
-}
-
-void DrainService::call_hook(Seconds now) {
-  if (!hook_ || hook_->busy() || now < hook_at_ || !leases_.may("drain", now, 1.0)) return;
-  for (DrainUnit const& u : context_.committed->units) {
-    DrainRun const* p = context_.committed->pass(u.pass);
-    if (u.stage != DrainStage::empty || p == nullptr || p->servers) continue;
-    hook_at_ = now + 1.0;
-    hook_->post(
-        "/release/" + (u.node.empty() ? u.name : u.node),
-        {{"X-Duty-Holder", context_.settings.nodeName}, {"X-Fence-Number", std::to_string(leases_.fence("drain"))}},
-        "{\"pass\":\"" + std::to_string(u.pass) + "\",\"address\":\"" + u.name + "\"}", 1.0,
-        [this, u](int code, Seconds) {
-          if (code < 200 || code > 299) return;
-          DrainActions m;
-          m.moves.push_back(StageTransition{u.pass, u.name, DrainStage::empty, DrainStage::released, u.incarnation});
-          bring(m);
-        });
-    return;
+  context_.order(http_request, StartDrain(order, context_.known()));
+}
+
+/// `parameters`: ID, or ID/UNIT.
+void DrainService::command_call(evhttp_request* http_request, DrainCommand command, std::string const& parameters) {
+  std::size_t const slash = parameters.find('/');
+  std::string const unit = slash == std::string::npos ? "" : parameters.substr(slash + 1);
+  std::optional<u64> const id = parse_id(parameters.substr(0, slash));
+  if (!id) return context_.write(http_request, error_response(400, "id: wants a number"));
+  context_.order(http_request, ControlDrain(*id, command, unit, context_.known()));
+}
+
+std::string DrainService::status_json(bool servers) const {
+  Lease const* lease = context_.committed ? context_.committed->term(kDrainRole) : nullptr;
+  return json_object([&](JsonWriter& json) {
+    write_member(json, "holder", lease == nullptr ? std::string() : lease->holder);
+    write_array(json, "passes", [&] { write_runs(json, servers); });
+    write_array(json, "units", [&] { write_units(json, servers, steady_now()); });
+  });
+}
+
+void DrainService::write_runs(JsonWriter& json, bool servers) const {
+  if (!context_.committed) return;
+  for (DrainRun const& run : context_.committed->passes)
+    if (run.servers == servers) write_object(json, [&] { write_run(json, run); });
+}
+
+void DrainService::write_units(JsonWriter& json, bool servers, Seconds now) const {
+  if (!context_.committed) return;
+  for (DrainUnit const& unit : context_.committed->units) {
+    DrainRun const* run = context_.committed->pass(unit.pass);
+    if (run == nullptr || run->servers != servers) continue;
+    write_object(json, [&] { write_unit(json, unit, servers, now); });
   }
 }
 
+void DrainService::write_unit(JsonWriter& json, DrainUnit const& unit, bool servers, Seconds now) const {
+  write_member(json, "pass", std::to_string(unit.pass));
+  write_member(json, "name", unit.name);
+  write_member(json, servers ? "service" : "node", unit.node);
+  write_member(json, "wave", unit.wave);
+  write_member(json, "stage", stage_str(unit.stage));
+  if (servers)
+    write_server_work(json, unit, now);
+  else
+    write_proxy_work(json, unit.name);
+}
+
+void DrainService::write_proxy_work(JsonWriter& json, std::string const& front) const {
+  auto const it = directory_service_.catalog().rows().find(front);
+  if (it == directory_service_.catalog().rows().end()) return;
+  write_member(json, "keyed", it->second.drain.keyed);
+  write_member(json, "uploads", it->second.drain.uploads);
+}
+
+void DrainService::write_server_work(JsonWriter& json, DrainUnit const& unit, Seconds now) const {
+  OpenWork const open_work = open_work_.at_server(unit.name);
+  write_member(json, "uploads", open_work.uploads);
+  write_member(json, "bytes", open_work.bytes);
+  write_member(json, "keyed", open_work.keyed);
+  write_member(json, "sessions", open_work.sessions);
+  write_member(json, "notHeard", u64{open_work_.silent_proxies(now)});
+  Seconds const since = server_planner_.since(unit.pass, unit.name);
+  if (since >= 0) write_member(json, "sinceS", rounded_to_tenths(now - since));
+}
+
 }  // namespace dockbend
--- a/packages/controller/include/controller/drain_service.hpp
+++ b/packages/controller/include/controller/drain_service.hpp
@@ -1,106 +1,83 @@
-// The desk of the drains: passes over proxies and servers. Their state is wanted state in
-// the register; the holder of the duty `drain` works out the next step, and whoever takes
-// the duty over goes on from there.
+/// The singleton role `drain`: drain runs over proxies (`/-/Drain.*`) and servers (`/-/Rotation.*`).
 #pragma once
-#include <cmath>
-#include <cstring>
+#include <memory>
+#include <string>
+#include <vector>
 
+#include "controller/json_writer.hpp"
 #include "controller/lease_service.hpp"
+#include "controller/open_work_collector.hpp"
 #include "controller/registry_service.hpp"
+#include "controller/singleton_role.hpp"
 #include "controller/survey_service.hpp"
 #include "drain/proxy_drain.hpp"
 #include "drain/server_drain.hpp"
+#include "leases/platform_client.hpp"
 
 namespace dockbend {
 
-class DrainService {
+/// Moves the drain runs on. Their state is part of the replicated state; the holder of the role's lease works
+/// out the next steps and submits them, and whoever takes the lease over goes on from there. Runs on the
+/// event loop; refers to its context and to the other services, and owns none.
+class DrainService : public SingletonRole {
  public:
-  DrainService(ControllerContext& h, DirectoryService& si, RegistryService& se, SurveyService& su, LeaseService& d);
-
-  // The register has something new: whom it has out is kept at hand for directory and roll.
-  void see();
+  /// Adds itself to `leases`.
+  DrainService(ControllerContext& context, DirectoryService& directory_service, RegistryService& registry,
+               SurveyService& surveys, LeaseService& leases);
 
+  /// A new value was committed: publishes the units that are out to the directory and the registry.
+  void on_committed();
   void tick(Seconds now);
 
-  // ---- calls of operators ------------------------------------------------------------
-  // Everything under Drain. and Rotation.
-  void call(evhttp_request* r, std::string const& what, bool servers, bool post, std::string const& body);
-
-  ApiResponse check_call(DrainOrder const& o) const;
-
-  void command_call(evhttp_request* r, std::string const& id, DrainCommand o, std::string const& unit);
+  /// All calls under `/-/Drain.` and, if `servers`, `/-/Rotation.`; `what` is the rest of the path.
+  void call(evhttp_request* http_request, std::string const& what, bool servers, bool is_post, std::string const& body);
 
-  std::string status(bool servers) const;
-
-  bool wanted() const;
+  /// Some run is not over.
+  bool is_wanted() const override;
 
  private:
-  static ProxyDrainOptions node_plan(Settings const& st);
-  static ServerDrainOptions server_plan(Settings const& st);
-  bool rotating() const;
-
-  std::vector<ProxyObservation> seen_nodes(Seconds now) const;
-
-  // Every second all proxies say what they hold at the servers of the pass. What one of
-  // them said holds for 2.5 s; who is silent for longer than any request may last has
-  // nothing there any more.
-  void ask_holdings(Seconds now);
-  // The longest that a request may be held, by the routes in force.
-  Seconds kMaxBodyBytes();
-
-  std::vector<ServerObservation> seen_servers(Seconds now) const;
-
-  template <class W>
-  void write_held(W& w, DrainUnit const& u, Seconds now) const {
-    OpenWork t;
-    std::size_t silent = 0;
-    for (auto const& [f, x] : heard_) {
-      silent += now - x.at < 2.5 ? 0 : 1;
-      for (OpenWork const& h : x.held)
-        if (h.id == u.name) t.add(h);
-    }
-    w.Key("uploads");
-    w.Uint(t.uploads);
-    w.Key("bytes");
-    w.Double(t.bytes);
-    w.Key("keyed");
-    w.Uint(t.keyed);
-    w.Key("sessions");
-    w.Uint(t.sessions);
-    w.Key("notHeard");
-    w.Uint64(silent);
-    if (Seconds const s = rotation_.since(u.pass, u.name); s >= 0) {
-      w.Key("sinceS");
-      w.Double(std::round((now - s) * 10) / 10);
-    }
-  }
-
-  // Steps are brought to the register under the fence they were worked out under.
-  void bring(DrainActions const& m);
-
-  // A node that is empty is named to the operator's hook, which restarts it. The call carries
-  // the fence; one that got no clear answer is repeated.
-  void call_hook(Seconds now);
+  static ProxyDrainOptions proxy_options(Settings const& settings);
+  static ServerDrainOptions server_options(Settings const& settings);
+
+  void start_call(evhttp_request* http_request, bool servers, std::string const& body);
+  void command_call(evhttp_request* http_request, DrainCommand command, std::string const& parameters);
+
+  void stop_acting();
+  void plan_steps(Seconds now);
+  bool has_server_run() const;
+  void ask_open_work(Seconds now);
+  Seconds longest_request();
+  std::vector<ProxyObservation> proxy_observations(Seconds now) const;
+  std::vector<ServerObservation> server_observations(Seconds now) const;
+  void submit_actions(DrainActions const& actions);
+  bool apply_under_fence(ReplicatedState& state, DrainActions const& actions, u64 fence) const;
+  void log_transitions(DrainActions const& actions) const;
+
+  void call_release_hook(Seconds now);
+  DrainUnit const* next_to_release() const;
+  void post_release(DrainUnit const& unit);
+  void on_release_answer(DrainUnit const& unit, int code);
+
+  std::string status_json(bool servers) const;
+  void write_runs(JsonWriter& json, bool servers) const;
+  void write_units(JsonWriter& json, bool servers, Seconds now) const;
+  void write_unit(JsonWriter& json, DrainUnit const& unit, bool servers, Seconds now) const;
+  void write_proxy_work(JsonWriter& json, std::string const& front) const;
+  void write_server_work(JsonWriter& json, DrainUnit const& unit, Seconds now) const;
 
-  struct Heard {
-    Seconds at = -1e9, known = -1e9;
-    bool had_any = false;
-    std::vector<OpenWork> held;
-  };
   ControllerContext& context_;
   DirectoryService& directory_service_;
   RegistryService& registry_;
-  SurveyService& surveys_;
   LeaseService& leases_;
-  ProxyDrainPlanner nodes_;
-  ServerDrainPlanner rotation_;
-  std::unique_ptr<PlatformClient> hook_;
-  std::map<std::string, Seconds> asked_at_;  // servers whose holdings were asked for lately
-  std::map<std::string, Heard> heard_;       // by proxy; joined by replacing, so repeats add nothing
-  Ballot longest_of_;                        // the view that longest_ was worked out from
-  Seconds longest_ = 0;
-  Seconds stepped_ = 0, asked_ = 0, hook_at_ = 0;
-  bool held_ = false, busy_ = false;
+  OpenWorkCollector open_work_;
+  ProxyDrainPlanner proxy_planner_;
+  ServerDrainPlanner server_planner_;
+  std::unique_ptr<PlatformClient> release_hook_;  ///< null if the settings name none
+  Ballot longest_request_of_;                     ///< the view that longest_request_ was worked out from
+  Seconds longest_request_ = 0;
+  Seconds planned_at_ = 0, asked_at_ = 0, next_hook_call_at_ = 0;
+  bool was_acting_ = false;     ///< the lease let this controller act at the last tick
+  bool is_submitting_ = false;  ///< steps are on their way to consensus
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
--- a/packages/controller/include/controller/lease_service.hpp
+++ b/packages/controller/include/controller/lease_service.hpp
@@ -1,120 +1,88 @@
-// The desk of the duties: who has them, the usage reports, and the lending of budgets.
+/// The leases of the singleton roles: taken, renewed, handed over and shown.
 #pragma once
-#include <cmath>
-
-#include "controller/directory_service.hpp"
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "controller/controller_context.hpp"
+#include "controller/json_writer.hpp"
+#include "controller/singleton_role.hpp"
 #include "leases/lease_client.hpp"
-#include "leases/platform_client.hpp"
-#include "leases/usage_reporter.hpp"
-#include "quota/quota.hpp"
 
 namespace dockbend {
 
+/// This controller's part in every singleton role. Runs on the event loop; refers to its context and to the
+/// roles, and owns neither.
 class LeaseService {
  public:
-  LeaseService(ControllerContext& h, DirectoryService& s);
-
-  void duties_see(Seconds now);
-
-  void duties(Seconds now);
-
-  // Counts go on to whoever reports.
-  void pass_tally(Seconds now);
-
-  template <class W>
-  void write_duties(W& w) const {
-    w.Key("duties");
-    w.StartArray();
-    if (context_.committed)
-      for (Lease const& t : context_.committed->duties) {
-        w.StartObject();
-        w.Key("duty");
-        w.String(t.duty.c_str());
-        w.Key("holder");
-        w.String(t.holder.c_str());
-        w.Key("fence");
-        w.Uint64(t.fence);
-        if (!t.next.empty()) {
-          w.Key("handedTo");
-          w.String(t.next.c_str());
-        }
-        if (t.duty == "usage") {
-          u64 const first =
-              context_.committed->fixed.empty() ? context_.committed->to_fix : context_.committed->fixed.front().window;
-          w.Key("lastWindow");  // the newest that the platform acknowledged
-          w.Uint64(first == 0 ? 0 : first - 1);
-          w.Key("outstanding");
-          w.Uint64(context_.committed->fixed.size());
-        }
-        w.EndObject();
-      }
-    w.EndArray();
-  }
-
-  std::string duty_status() const;
-
-  void hand_over_call(evhttp_request* r, std::string const& rest);
+  explicit LeaseService(ControllerContext& context);
 
-  // The lender knows; another node says where it is.
-  void allowance_call(evhttp_request* r, std::string const& tenant, std::string const& uri);
+  /// Begins to take part in the role `name`. `role` must outlive the last call of this object.
+  void add_role(std::string const& name, SingletonRole& role);
 
-  // May this node act under that duty in a call that ends within `need`?
-  bool may(std::string const& duty, Seconds now, Seconds need) const;
-  u64 fence(std::string const& duty) const;
+  /// A new value was committed.
+  void on_committed(Seconds now);
   void tick(Seconds now);
-  void leave();
-  bool handing() const;
-  void told(HandOverCommand const& c);
-  void controller_clock(std::string const& ip, Seconds steady, WallSeconds said);
-  void join(UsageUpdate const& n);
-  void reported_to(u64 window);
-  // May this node be handed a duty and act at once?
-  bool fit_at_once() const;
-  void lend_to(Connection& ch, u32 tag, QuotaLeaseRequest const& a, Seconds now);
 
- private:
-  // Passes an order on to whoever holds the duty; what stood in its way, if anything.
-  std::string hand_over(HandOverLease const& o);
-  // An order is answered once the register says that the duty goes where it was ordered to.
-  void answer_orders(Seconds now);
+  /// This controller holds the lease of the role, as far as it knows.
+  bool holds(std::string const& role) const { return leases_.at(role).client.holds(); }
+  /// This controller may begin a call in that role that ends within `call_duration`.
+  bool may_act(std::string const& role, Seconds now, Seconds call_duration) const;
+  /// The fencing token under which it acts.
+  u64 fence(std::string const& role) const { return leases_.at(role).client.fence(); }
+  /// When it acquired the lease, by the steady clock.
+  Seconds held_since(std::string const& role) const { return leases_.at(role).client.since(); }
+  /// This controller could act at once if a lease were handed to it.
+  bool can_take_over_now() const;
+
+  /// This controller shuts down: names a successor for each lease that it holds.
+  void hand_over_all();
+  /// Some lease is being handed over, and consensus has not confirmed it yet.
+  bool is_handing_over() const;
+  /// Another controller passes on an operator's order to hand a lease over.
+  void on_hand_over_command(HandOverCommand const& command);
+
+  /// `/-/Duty.HandOver/ROLE/NODE`; `rest` is ROLE/NODE. Answered once the lease is where it was ordered to.
+  void hand_over_call(evhttp_request* http_request, std::string const& rest);
+  /// The answer of `/-/Duty.Status`.
+  std::string status_json() const;
+  /// The member `duties`: all leases of the committed value.
+  void write_leases(JsonWriter& json) const;
 
-  // Only a value read on a majority refuses.
-  void refuse(evhttp_request* r, std::string const& tenant, std::string const& uri);
-  bool wanted(std::string const& duty) const;
-  bool drains() const;
-  bool fit() const;
+ private:
+  struct RoleLease {
+    LeaseClient client;
+    SingletonRole& role;
+  };
+  /// An operator's order whose lease has not arrived yet.
+  struct PendingHandOver {
+    HandOverLease order;
+    evhttp_request* http_request = nullptr;
+    Seconds deadline_at = 0;
+  };
 
-  bool reports() const;
+  void step(std::string const& name, Seconds now);
+  void submit_proposal(std::string const& name, LeaseClient::Proposal const& proposal);
+  void on_proposal_outcome(std::string const& name, LeaseClient::Proposal const& proposal, bool is_committed);
+  void report_change(std::string const& name, bool held_before, Seconds now);
+  bool can_hold_leases() const;
 
-  bool lends() const;
+  void start_hand_over(PendingHandOver pending);
+  std::optional<std::string> request_hand_over(HandOverLease const& order);
+  bool is_connected_node(std::string const& node) const;
+  void answer_hand_overs(Seconds now);
 
-  // Whom a leaving holder names: a mate that would be let act at once, a near one first.
   std::string successor() const;
+  bool can_succeed(Member const& member) const;
+  int distance_tier(Member const& member) const;
 
-  void lost_duty(std::string const& n);
+  void write_lease(JsonWriter& json, Lease const& lease) const;
 
-  void report(Seconds now);
-
-  // Wanted: a purse for every partner with an allowance.
-  void lend_rules(Seconds now);
-
-  struct Ordered {
-    HandOverLease o;
-    evhttp_request* r = nullptr;
-    Seconds until = 0;
-  };
   ControllerContext& context_;
-  DirectoryService& directory_service_;
-  std::vector<Ordered> orders_;  // to hand a duty over, on their way
-  std::map<std::string, LeaseClient> leases_;
-  UsageReporter reporter_{UsageReportOptions{}};
-  std::unique_ptr<PlatformClient> envoy_;
-  QuotaAllocator lender_;
-  UsageTotals totals_;
-  MedianClock clock_;
-  u64 tally_fence_ = 0;
-  bool tally_all_ = false;  // the holder of the usage duty may lack what we have
-  Seconds tallied_ = 0;
+  std::map<std::string, RoleLease> leases_;  ///< by role
+  std::vector<PendingHandOver> hand_overs_;
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
--- a/packages/controller/rollout_service.cpp
+++ b/packages/controller/rollout_service.cpp
@@ -1,268 +1,361 @@
 #include "controller/rollout_service.hpp"
 
+#include <algorithm>
+#include <cmath>
+
+#include "controller/call_parameters.hpp"
+
 namespace dockbend {
 
-RolloutService::RolloutService(ControllerContext& h, DirectoryService& s) : context_(h), directory_service_(s) {}
+namespace {
 
-void RolloutService::amend(evhttp_request* r, std::string const& body) {
-  ConfigChange a;
-  try {
-    a = read_amend(body);
-  } catch (json::Fault const& e) {
-    return context_.write(r, error_response(400, e.what()));
-  }
-  if (context_.leaving_since > 0) return context_.write(r, error_response(503, "leaving"));
-  Seconds const now = steady_now();
-  AmendConfiguration const o(a, context_.known());
-  if (!context_.settings.staged || !worth_staging(a)) return context_.order(r, o);
-  auto const id = (random64() >> 16) | 1;
-  // A large change takes its time on narrow links; asking again too soon would only
-  // fill them.
-  RolloutOptions plan = context_.settings.rollout;
+/// Large changes take their time on narrow links: staged again too soon, they would only fill them.
+double constexpr kResendBytesPerSecond = 200e3;
+double constexpr kStageBytesPerSecond = 400e3;
+/// Proxies keep a staged change for this long after the rollout's own deadline.
+Seconds constexpr kStagedMargin = 1.0;
+/// A proxy that is connected here counts as in touch until two of its heartbeats in a row are missing.
+Seconds constexpr kMaxSilenceHere = 1.3;
+/// What another controller tells of its proxies is older by its way here.
+Seconds constexpr kMaxSilenceElsewhere = 1.6;
+/// An ended rollout is shown for this long.
+Seconds constexpr kEndedShownFor = 600;
+std::size_t constexpr kMaxLedElsewhere = 64;
+Seconds constexpr kForwardedRequestLifetime = 60;
+/// The first letter of the item keys of routes.
+char constexpr kRouteKeyPrefix = 'r';
+
+RolloutOptions options_for(RolloutOptions options, ConfigChange const& change) {
   double bytes = 0;
-  for (ConfigItem const& i : a.items)
-    bytes += static_cast<double>(i.body.size() + i.key.size());
-  plan.resendS += bytes / 200e3;
-  plan.stageS += bytes / 400e3;
-  Staged& g = rollouts_.emplace(id, Staged{Rollout(id, plan, now), o, r, now, {}, 99, {}}).first->second;
-  LOG4CPLUS_INFO(logger_, "Rollout " << id << " of " << a.items.size() << " items begins.");
-  stage_on(g, now);
-}
-
-void RolloutService::hold_for(std::string const& leader, StageForwardRequest const& f) {
-  StageRequest const h = codec::unpack<StageRequest>(f.hold);
-  held_for_[h.id] = {leader, steady_now()};
-  EncodedMessage const pc = encode_message(MessageType::stage_request, f.hold);
-  for (std::string const& s : f.sites) {
-    auto const it = directory_service_.catalog().rows().find(s);
-    if (it == directory_service_.catalog().rows().end()) continue;
-    if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end()) p->second.ch->send(pc);
-  }
+  for (ConfigItem const& item : change.items)
+    bytes += static_cast<double>(item.body.size() + item.key.size());
+  options.resendS += bytes / kResendBytesPerSecond;
+  options.stageS += bytes / kStageBytesPerSecond;
+  return options;
 }
 
-void RolloutService::rollouts(Seconds now) {
-  for (auto it = rollouts_.begin(); it != rollouts_.end();) {
-    Staged& g = it->second;
-    if (!is_over(g.ro.phase())) stage_on(g, now);
-    // The ended ones are shown for a while.
-    if (is_over(g.ro.phase()) && g.r == nullptr && now - g.start > 600)
-      it = rollouts_.erase(it);
-    else
-      ++it;
+/// The last part of the path of a command's call, without the id.
+char const* call_of(RolloutCommand command) {
+  switch (command) {
+    case RolloutCommand::pause: return "Pause/";
+    case RolloutCommand::resume: return "Resume/";
+    case RolloutCommand::abort: break;
   }
-  while (notes_.size() > 64)
-    notes_.erase(notes_.begin());
-}
-
-void RolloutService::order_call(evhttp_request* r, std::string const& text, RolloutCommand o) {
-  char* end = nullptr;
-  u64 const id = std::strtoull(text.c_str(), &end, 10);
-  if (text.empty() || *end != '\0') return context_.write(r, error_response(400, "id: wants a number"));
-  if (auto const it = rollouts_.find(id); it != rollouts_.end()) {
-    Seconds const now = steady_now();
-    if (!it->second.ro.heed(o, now))
-      return context_.write(r, error_response(409, std::string("rollout is ") + phase_str(it->second.ro.phase())));
-    stage_on(it->second, now);
-    return context_.write(r, ApiResponse{200, "{}"});
+  return "Abort/";
+}
+
+StageRequest stage_request_for(Rollout const& rollout, std::vector<ConfigItem> const& items, Seconds now) {
+  StageRequest request;
+  request.id = rollout.id();
+  request.for_ms = static_cast<u32>((rollout.until() - now + kStagedMargin) * 1000);
+  request.items = items;
+  return request;
+}
+
+StageRequest drop_request_for(Rollout const& rollout) {
+  StageRequest request;
+  request.id = rollout.id();
+  request.drop = true;
+  return request;
+}
+
+double rounded_to_ms(Seconds duration) {
+  return std::round(duration * 1000) / 1000;
+}
+
+void write_rollout(JsonWriter& json, u64 id, RolloutStatusNotice const& notice) {
+  write_object(json, [&] {
+    write_member(json, "id", std::to_string(id));
+    write_member(json, "state", phase_str(notice.phase));
+    write_member(json, "stage", std::to_string(notice.stage) + "/" + std::to_string(notice.stages));
+    write_member(json, "holding", notice.holding);
+    write_member(json, "enough", notice.wanted);
+    write_member(json, "ledBy", notice.at);
+    write_member(json, "ageS", rounded_to_ms(notice.age));
+    write_array(json, "items", [&] {
+      for (std::string const& item : notice.items)
+        json.String(item.c_str());
+    });
+  });
+}
+
+}  // namespace
+
+RolloutService::RolloutService(ControllerContext& context, DirectoryService& directory_service)
+    : context_(context), directory_service_(directory_service) {}
+
+// Beginning
+
+void RolloutService::amend_configuration(evhttp_request* http_request, std::string const& body) {
+  ConfigChange change;
+  try {
+    change = read_amend(body);
+  } catch (json::Fault const& e) {
+    return context_.write(http_request, error_response(400, e.what()));
   }
-  // Only the node that leads it knows what became of it. A rollout that this node knows
-  // nothing of may be under way elsewhere: that is no refusal.
-  auto const it = notes_.find(id);
-  if (it == notes_.end()) return context_.write(r, error_response(503, "id: no such rollout is known here"));
-  Member const* m = context_.committed ? context_.committed->member(it->second.at) : nullptr;
-  if (m == nullptr || m->ip == context_.settings.ip || !context_.up(m->ip))
-    return context_.write(r, error_response(503, "the node that leads it is not in touch"));
-  char const* const what = o == RolloutCommand::pause ? "Pause/" : o == RolloutCommand::resume ? "Resume/" : "Abort/";
-  evhttp_add_header(evhttp_request_get_output_headers(r), "Location",
-                    ("http://" + Address{m->ip, m->control}.str() + "/-/Rollout." + what + text).c_str());
-  context_.write(r, ApiResponse{307, "{}"});
-}
-
-std::string RolloutService::rollout_status() const {
-  std::map<u64, RolloutStatusNotice> all = notes_;
+  if (context_.leaving_since > 0) return context_.write(http_request, error_response(503, "leaving"));
+  AmendConfiguration const command(change, context_.known());
+  if (!context_.settings.staged || !is_worth_staging(change)) return context_.order(http_request, command);
+  begin(http_request, command);
+}
+
+void RolloutService::begin(evhttp_request* http_request, AmendConfiguration const& change) {
+  u64 const id = (random64() >> 16) | 1;
   Seconds const now = steady_now();
-  for (auto const& [id, g] : rollouts_)
-    all[id] = note_of(g, now);
-  rapidjson::StringBuffer sb;
-  rapidjson::Writer<rapidjson::StringBuffer> w(sb);
-  w.StartObject();
-  w.Key("staged");
-  w.Bool(context_.settings.staged);
-  w.Key("rollouts");
-  w.StartArray();
-  for (auto const& [id, n] : all) {
-    w.StartObject();
-    w.Key("id");
-    w.String(std::to_string(id).c_str());
-    w.Key("state");
-    w.String(phase_str(n.phase));
-    w.Key("stage");
-    w.String((std::to_string(n.stage) + "/" + std::to_string(n.stages)).c_str());
-    w.Key("holding");
-    w.Uint(n.holding);
-    w.Key("enough");
-    w.Uint(n.wanted);
-    w.Key("ledBy");
-    w.String(n.at.c_str());
-    w.Key("ageS");
-    w.Double(std::round(n.age * 1000) / 1000);
-    w.Key("items");
-    w.StartArray();
-    for (std::string const& i : n.items)
-      w.String(i.c_str());
-    w.EndArray();
-    w.EndObject();
-  }
-  w.EndArray();
-  w.EndObject();
-  return std::string(sb.GetString(), sb.GetSize());
+  Rollout rollout(id, options_for(context_.settings.rollout, change.asked()), now);
+  LedRollout& led =
+      led_.emplace(id, LedRollout{std::move(rollout), change, http_request, now, {}, {}, {}}).first->second;
+  LOG4CPLUS_INFO(logger_, "Rollout " << id << " of " << change.asked().items.size() << " items begins.");
+  advance(led, now);
 }
 
-void RolloutService::held(StageResponse const& r, Seconds now) {
-  auto const it = rollouts_.find(r.id);
-  if (it == rollouts_.end()) {
-    // Asked for by the mate that leads it.
-    if (auto const f = held_for_.find(r.id); f != held_for_.end() && context_.controller(f->second.first).link)
-      context_.controller(f->second.first).link->send(MessageType::stage_response, 0, r);
-    return;
-  }
-  it->second.ro.heard(r.front, r.holds);
-  if (!is_over(it->second.ro.phase())) stage_on(it->second, now);
+/// Only changes of routes that proxies already serve by are staged. A first configuration has no earlier
+/// version to fall back to; a change that changes nothing or is faulty is decided by consensus at once.
+bool RolloutService::is_worth_staging(ConfigChange const& change) const {
+  if (!context_.committed || directory_service_.catalog().rows().empty()) return false;
+  if (!serves_routes() || !brings_news(context_.committed->items, change)) return false;
+  std::map<std::string, ConfigItem> items = context_.committed->by_key();
+  std::string faulty_field;
+  return join(items, change, faulty_field) == MergeResult::changed;
 }
 
-void RolloutService::lost_channel(u64 id) {
-  for (auto& [rid, g] : rollouts_)
-    for (auto const& [f, s] : directory_service_.catalog().rows())
-      if (s.channel == id) g.ro.lost(f);
+bool RolloutService::serves_routes() const {
+  return std::any_of(context_.committed->items.begin(), context_.committed->items.end(),
+                     [](ConfigItem const& item) { return item.key[0] == kRouteKeyPrefix && !item.gone; });
 }
 
-void RolloutService::forget(Seconds now) {
-  std::erase_if(held_for_, [&](auto const& x) { return now - x.second.second > 60; });
+// Moving on
+
+void RolloutService::tick(Seconds now) {
+  for (auto& [id, led] : led_)
+    if (!is_over(led.rollout.phase())) advance(led, now);
+  std::erase_if(led_, [now](auto const& entry) {
+    LedRollout const& led = entry.second;
+    return is_over(led.rollout.phase()) && led.http_request == nullptr && now - led.started_at > kEndedShownFor;
+  });
+  while (led_elsewhere_.size() > kMaxLedElsewhere)
+    led_elsewhere_.erase(led_elsewhere_.begin());
 }
 
-void RolloutService::note(RolloutStatusNotice n) {
-  u64 const id = n.id;
-  notes_[id] = std::move(n);
+void RolloutService::advance(LedRollout& led, Seconds now) {
+  end_if_overtaken(led);
+  Rollout::Actions const actions = led.rollout.step(now, zones_of_proxies_in_touch(now));
+  if (!actions.send.empty())
+    stage_on_proxies(actions.send, stage_request_for(led.rollout, led.change.asked().items, now));
+  if (actions.drop)
+    stage_on_proxies({led.rollout.asked().begin(), led.rollout.asked().end()}, drop_request_for(led.rollout));
+  if (actions.commit) commit(led);
+  answer_if_ended(led);
+  announce_if_changed(led, now);
 }
 
-bool RolloutService::worth_staging(ConfigChange const& a) const {
-  if (!context_.committed || directory_service_.catalog().rows().empty()) return false;
-  bool standing = false;
-  for (ConfigItem const& i : context_.committed->items)
-    standing = standing || (i.key[0] == 'r' && !i.gone);
-  if (!standing || !brings_news(context_.committed->items, a)) return false;
-  auto items = context_.committed->by_key();
-  std::string f;
-  return join(items, a, f) == MergeResult::changed;
-}
-
-std::map<std::string, std::string> RolloutService::in_touch(Seconds now) const {
-  std::map<std::string, std::string> m;
-  for (auto const& [f, s] : directory_service_.catalog().rows())
-    // What a mate told us is older by its way here.
-    if (s.channel != 0 ? context_.sessions.count(s.channel) > 0 && now - s.heard < 1.3
-                       : context_.up(s.via) && now - s.heard < 1.6)
-      m[f] = s.zone;
-  return m;
-}
-
-void RolloutService::stage_on(Staged& g, Seconds now) {
-  if (context_.committed && !is_over(g.ro.phase()) && g.ro.phase() != RolloutPhase::committing) {
-    if (g.seen != ballot()) {
-      g.seen = ballot();
-      if (!brings_news(context_.committed->items, g.o.asked())) g.ro.overtaken();
-    }
-  }
-  Rollout::Actions const st = g.ro.step(now, in_touch(now));
-  if (!st.send.empty()) {
-    StageRequest h;
-    h.id = g.ro.id();
-    h.for_ms = static_cast<u32>((g.ro.until() - now + 1.0) * 1000);
-    h.items = g.o.asked().items;
-    to_sites(st.send, h);
+/// Once the committed value has all of the change or newer versions of it, there is nothing left to bring out.
+void RolloutService::end_if_overtaken(LedRollout& led) {
+  if (!context_.committed || is_over(led.rollout.phase()) || led.rollout.phase() == RolloutPhase::committing) return;
+  if (led.compared_with == context_.committed->ballot) return;
+  led.compared_with = context_.committed->ballot;
+  if (!brings_news(context_.committed->items, led.change.asked())) led.rollout.overtaken();
+}
+
+void RolloutService::commit(LedRollout& led) {
+  carry(context_.submit, led.change, context_.patience(),
+        [this, id = led.rollout.id()](CommandResult const& outcome) { on_commit_outcome(id, outcome); });
+}
+
+void RolloutService::on_commit_outcome(u64 rollout_id, CommandResult const& outcome) {
+  auto const it = led_.find(rollout_id);
+  if (it == led_.end()) return;
+  it->second.rollout.committed(outcome.ruling == CommandStatus::taken);
+  answer(it->second, answer_of(outcome));
+  advance(it->second, steady_now());
+}
+
+void RolloutService::answer_if_ended(LedRollout& led) {
+  switch (led.rollout.phase()) {
+    case RolloutPhase::fell_back: return answer(led, error_response(503, "rollout fell back: too few nodes hold it"));
+    case RolloutPhase::aborted: return answer(led, error_response(503, "rollout was aborted by the operator"));
+    case RolloutPhase::overtaken: return commit_unstaged(led);
+    default: return;
   }
-  if (st.drop) {
-    StageRequest h;
-    h.id = g.ro.id();
-    h.drop = true;
-    to_sites({g.ro.asked().begin(), g.ro.asked().end()}, h);
+}
+
+/// An overtaken change is submitted as it is, so that its call gets the answer that consensus gives.
+void RolloutService::commit_unstaged(LedRollout& led) {
+  if (led.http_request == nullptr) return;
+  evhttp_request* const http_request = led.http_request;
+  led.http_request = nullptr;
+  carry(context_.submit, led.change, context_.patience(),
+        [this, http_request](CommandResult const& outcome) { context_.write(http_request, answer_of(outcome)); });
+}
+
+void RolloutService::answer(LedRollout& led, ApiResponse const& response) {
+  if (led.http_request == nullptr) return;
+  context_.write(led.http_request, response);
+  led.http_request = nullptr;
+}
+
+// Telling other controllers
+
+void RolloutService::announce_if_changed(LedRollout& led, Seconds now) {
+  RolloutPhase const phase = led.rollout.phase();
+  bool const is_new_phase = led.announced_phase != phase;
+  if (!is_new_phase && led.announced_stage == led.rollout.stage()) return;
+  if (is_new_phase && phase != RolloutPhase::holding && phase != RolloutPhase::committing) log_phase(led);
+  led.announced_phase = phase;
+  led.announced_stage = led.rollout.stage();
+  RolloutStatusNotice const notice = notice_of(led, now);
+  for (auto& [ip, peer] : context_.controllers)
+    if (peer.link) peer.link->send(MessageType::rollout_status, 0, notice);
+}
+
+void RolloutService::log_phase(LedRollout const& led) const {
+  Rollout const& rollout = led.rollout;
+  LOG4CPLUS_INFO(logger_, "Rollout " << rollout.id() << " is now " << phase_str(rollout.phase()) << ", at stage "
+                                     << rollout.stage() + 1 << " of " << rollout.stages() << "; staged on "
+                                     << rollout.holding() << " proxies, " << rollout.wanted() << " needed.");
+}
+
+RolloutStatusNotice RolloutService::notice_of(LedRollout const& led, Seconds now) const {
+  RolloutStatusNotice notice;
+  notice.id = led.rollout.id();
+  notice.at = context_.settings.ip;
+  notice.phase = led.rollout.phase();
+  notice.stage = static_cast<u32>(led.rollout.stage() + 1);
+  notice.stages = static_cast<u32>(led.rollout.stages());
+  notice.wanted = static_cast<u32>(led.rollout.wanted());
+  notice.holding = static_cast<u32>(led.rollout.holding());
+  notice.age = now - led.started_at;
+  for (ConfigItem const& item : led.change.asked().items)
+    notice.items.push_back(item.key + "@" + json::gen_str(item.gen));
+  return notice;
+}
+
+void RolloutService::on_status_notice(RolloutStatusNotice notice) {
+  u64 const id = notice.id;
+  led_elsewhere_[id] = std::move(notice);
+}
+
+// Calls of operators
+
+void RolloutService::command_call(evhttp_request* http_request, std::string const& id_text, RolloutCommand command) {
+  std::optional<u64> const id = parse_id(id_text);
+  if (!id) return context_.write(http_request, error_response(400, "id: wants a number"));
+  if (auto const it = led_.find(*id); it != led_.end()) return command_led(http_request, it->second, command);
+  redirect_to_leader(http_request, *id, std::string("/-/Rollout.") + call_of(command) + id_text);
+}
+
+void RolloutService::command_led(evhttp_request* http_request, LedRollout& led, RolloutCommand command) {
+  Seconds const now = steady_now();
+  if (!led.rollout.heed(command, now)) {
+    std::string const why = std::string("rollout is ") + phase_str(led.rollout.phase());
+    return context_.write(http_request, error_response(409, why));
   }
-  if (st.commit) {
-    u64 const id = g.ro.id();
-    carry(context_.submit, g.o, context_.patience(), [this, id](CommandResult const& o) {
-      auto const it = rollouts_.find(id);
-      if (it == rollouts_.end()) return;
-      it->second.ro.committed(o.ruling == CommandStatus::taken);
-      answer_rollout(it->second, answer_of(o));
-      stage_on(it->second, steady_now());
+  advance(led, now);
+  context_.write(http_request, ApiResponse{200, "{}"});
+}
+
+/// Only the leader knows what became of a rollout. One that is not known here may be under way elsewhere,
+/// so the answer must not be final: 503, not 404.
+void RolloutService::redirect_to_leader(evhttp_request* http_request, u64 id, std::string const& path) {
+  auto const it = led_elsewhere_.find(id);
+  if (it == led_elsewhere_.end())
+    return context_.write(http_request, error_response(503, "id: no such rollout is known here"));
+  Member const* leader = context_.committed ? context_.committed->member(it->second.at) : nullptr;
+  if (leader == nullptr || leader->ip == context_.settings.ip || !context_.up(leader->ip))
+    return context_.write(http_request, error_response(503, "the node that leads it is not in touch"));
+  std::string const location = "http://" + Address{leader->ip, leader->control}.str() + path;
+  evhttp_add_header(evhttp_request_get_output_headers(http_request), "Location", location.c_str());
+  context_.write(http_request, ApiResponse{307, "{}"});
+}
+
+std::string RolloutService::status_json() const {
+  std::map<u64, RolloutStatusNotice> notices = led_elsewhere_;
+  Seconds const now = steady_now();
+  for (auto const& [id, led] : led_)
+    notices[id] = notice_of(led, now);
+  return json_object([&](JsonWriter& json) {
+    write_member(json, "staged", context_.settings.staged);
+    write_array(json, "rollouts", [&] {
+      for (auto const& [id, notice] : notices)
+        write_rollout(json, id, notice);
     });
+  });
+}
+
+// Proxies
+
+/// Proxies that are connected here get the request from us; the others through their own controllers, so
+/// that it is sent once to each.
+void RolloutService::stage_on_proxies(std::vector<std::string> const& fronts, StageRequest const& request) {
+  std::string const packed = codec::pack(request);
+  EncodedMessage const message = encode_message(MessageType::stage_request, packed);
+  std::map<std::string, StageForwardRequest> elsewhere;  // by the controller's address
+  for (std::string const& front : fronts) {
+    auto const it = directory_service_.catalog().rows().find(front);
+    if (it == directory_service_.catalog().rows().end()) continue;
+    if (it->second.channel != 0)
+      send_to_session(it->second.channel, message);
+    else
+      elsewhere[it->second.via].sites.push_back(front);
   }
-  RolloutPhase const p = g.ro.phase();
-  if (p == RolloutPhase::fell_back) answer_rollout(g, error_response(503, "rollout fell back: too few nodes hold it"));
-  if (p == RolloutPhase::aborted) answer_rollout(g, error_response(503, "rollout was aborted by the operator"));
-  if (p == RolloutPhase::overtaken && g.r != nullptr) {
-    evhttp_request* const r = g.r;
-    g.r = nullptr;
-    carry(context_.submit, g.o, context_.patience(),
-          [this, r](CommandResult const& o) { context_.write(r, answer_of(o)); });
+  for (auto& [ip, forward] : elsewhere) {
+    auto const peer = context_.controllers.find(ip);
+    if (peer == context_.controllers.end() || !peer->second.link) continue;
+    forward.hold = packed;
+    peer->second.link->send(MessageType::stage_forward_request, 0, forward);
   }
-  if (p != g.told || g.ro.stage() != g.told_stage) {
-    if (p != g.told && p != RolloutPhase::holding && p != RolloutPhase::committing)
-      LOG4CPLUS_INFO(logger_, "Rollout " << g.ro.id() << " " << phase_str(p) << " at stage " << g.ro.stage() + 1
-                                         << " of " << g.ro.stages() << ", " << g.ro.holding() << " hold it, "
-                                         << g.ro.wanted() << " are enough.");
-    g.told = p;
-    g.told_stage = g.ro.stage();
-    RolloutStatusNotice const n = note_of(g, now);
-    for (auto& [ip, m] : context_.controllers)
-      if (m.link) m.link->send(MessageType::rollout_status, 0, n);
+}
+
+void RolloutService::on_stage_forward_request(std::string const& leader_ip, StageForwardRequest const& request) {
+  StageRequest const inner = codec::unpack<StageRequest>(request.hold);
+  forwarded_[inner.id] = ForwardedRequest{leader_ip, steady_now()};
+  EncodedMessage const message = encode_message(MessageType::stage_request, request.hold);
+  for (std::string const& front : request.sites) {
+    auto const it = directory_service_.catalog().rows().find(front);
+    if (it != directory_service_.catalog().rows().end()) send_to_session(it->second.channel, message);
   }
 }
 
-void RolloutService::answer_rollout(Staged& g, ApiResponse const& c) {
-  if (g.r == nullptr) return;
-  context_.write(g.r, c);
-  g.r = nullptr;
+/// Nothing is sent if the connection has ended.
+void RolloutService::send_to_session(u64 session_id, EncodedMessage const& message) {
+  auto const it = context_.sessions.find(session_id);
+  if (it != context_.sessions.end()) it->second.ch->send(message);
 }
 
-void RolloutService::to_sites(std::vector<std::string> const& fronts, StageRequest const& h) {
-  EncodedMessage const pc = encode_message(MessageType::stage_request, codec::pack(h));
-  std::map<std::string, StageForwardRequest> far;
-  for (std::string const& f : fronts) {
-    auto const it = directory_service_.catalog().rows().find(f);
-    if (it == directory_service_.catalog().rows().end()) continue;
-    if (it->second.channel != 0) {
-      if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end())
-        p->second.ch->send(pc);
-    } else {
-      far[it->second.via].sites.push_back(f);
-    }
-  }
-  for (auto& [via, hf] : far) {
-    auto const m = context_.controllers.find(via);
-    if (m == context_.controllers.end() || !m->second.link) continue;
-    hf.hold = codec::pack(h);
-    m->second.link->send(MessageType::stage_forward_request, 0, hf);
+void RolloutService::on_stage_response(StageResponse const& response, Seconds now) {
+  if (auto const it = led_.find(response.id); it != led_.end()) {
+    it->second.rollout.heard(response.front, response.holds);
+    if (!is_over(it->second.rollout.phase())) advance(it->second, now);
+    return;
   }
+  auto const forwarded = forwarded_.find(response.id);
+  if (forwarded == forwarded_.end()) return;
+  PeerController const& leader = context_.controller(forwarded->second.leader_ip);
+  if (leader.link) leader.link->send(MessageType::stage_response, 0, response);
+}
+
+void RolloutService::on_session_ended(u64 session_id) {
+  for (auto& [id, led] : led_)
+    for (auto const& [front, proxy] : directory_service_.catalog().rows())
+      if (proxy.channel == session_id) led.rollout.lost(front);
+}
+
+void RolloutService::forget_forwarded(Seconds now) {
+  std::erase_if(forwarded_,
+                [now](auto const& entry) { return now - entry.second.forwarded_at > kForwardedRequestLifetime; });
 }
 
-RolloutStatusNotice RolloutService::note_of(Staged const& g, Seconds now) const {
-  RolloutStatusNotice n;
-  n.id = g.ro.id();
-  n.at = context_.settings.ip;
-  n.phase = g.ro.phase();
-  n.stage = static_cast<u32>(g.ro.stage() + 1);
-  n.stages = static_cast<u32>(g.ro.stages());
-  n.wanted = static_cast<u32>(g.ro.wanted());
-  n.holding = static_cast<u32>(g.ro.holding());
-  n.age = now - g.start;
-  for (ConfigItem const& i : g.o.asked().items)
-    n.items.push_back(i.key + "@" + json::gen_str(i.gen));
-  return n;
+/// A frozen proxy must not use up the time that a rollout has, so it is left out.
+std::map<std::string, std::string> RolloutService::zones_of_proxies_in_touch(Seconds now) const {
+  std::map<std::string, std::string> zone_of;
+  for (auto const& [front, proxy] : directory_service_.catalog().rows())
+    if (is_in_touch(proxy, now)) zone_of[front] = proxy.zone;
+  return zone_of;
 }
 
-Ballot RolloutService::ballot() const {
-  return context_.committed ? context_.committed->ballot : Ballot();
+bool RolloutService::is_in_touch(ProxyEntry const& proxy, Seconds now) const {
+  if (proxy.channel != 0) return context_.sessions.count(proxy.channel) > 0 && now - proxy.heard < kMaxSilenceHere;
+  return context_.up(proxy.via) && now - proxy.heard < kMaxSilenceElsewhere;
 }
 
 }  // namespace dockbend
--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -17,9 +17,11 @@
 #include "controller/idempotency_service.hpp"
 #include "controller/lease_service.hpp"
 #include "controller/membership_service.hpp"
+#include "controller/quota_service.hpp"
 #include "controller/registry_service.hpp"
 #include "controller/rollout_service.hpp"
 #include "controller/survey_service.hpp"
+#include "controller/usage_service.hpp"
 
 using namespace dockbend;
 
@@ -32,7 +34,9 @@
         registry_(context_),
         directory_service_(context_),
         rollouts_(context_, directory_service_),
-        leases_(context_, directory_service_),
+        leases_(context_),
+        usage_(context_, leases_),
+        quotas_(context_, directory_service_, leases_),
         surveys_(context_, directory_service_, registry_),
         drains_(context_, directory_service_, registry_, surveys_, leases_),
         consensus_(context_),
@@ -42,11 +46,12 @@
     };
     context_.controller = [this](std::string const& ip) -> PeerController& { return controller(ip); };
     open_disk();
-    consensus_.on_view.connect([this] { leases_.reported_to(context_.view.to_fix); });
+    consensus_.on_view.connect([this] { usage_.on_windows_fixed(context_.view.to_fix); });
     consensus_.on_value.connect([this](bool moved) {
       sees_members();
-      leases_.duties_see(steady_now());
-      drains_.see();
+      leases_.on_committed(steady_now());
+      usage_.on_committed();
+      drains_.on_committed();
       if (moved) idempotency_->roster_changed();
     });
     members_ = std::make_unique<MembershipService>(context_, *idempotency_, steady_now());
@@ -75,7 +80,7 @@
   void term() {
     if (context_.leaving_since > 0) return;
     context_.leaving_since = steady_now();
-    leases_.leave();
+    leases_.hand_over_all();
     members_->term(context_.leaving_since);
   }
 
@@ -178,7 +183,7 @@
         if (l.tag != m.digests)
           context_.unmatched.drop(UnmatchedReason::no_question);
         else if (d.wall > 0)
-          leases_.controller_clock(ip, 0.5 * (m.digest_sent + steady_now()), d.wall);
+          usage_.on_peer_clock(ip, 0.5 * (m.digest_sent + steady_now()), d.wall);
         digest(ip, d);
         break;
       }
@@ -209,7 +214,7 @@
     });
     c->on_down.connect([this, id](Connection&) {
       after(context_.loop, 0, [this, id] {
-        rollouts_.lost_channel(id);
+        rollouts_.on_session_ended(id);
         context_.sessions.erase(id);
       });
     });
@@ -279,18 +284,22 @@
         if (context_.committed && context_.born && context_.leaving_since == 0) members_->admit(l.as<Member>());
         break;
       case MessageType::proxy_records_request: directory_service_.whole_for(*p.ch, now); break;
-      case MessageType::usage_update: leases_.join(l.as<UsageUpdate>()); break;
-      case MessageType::quota_lease_request: leases_.lend_to(*p.ch, l.tag, l.as<QuotaLeaseRequest>(), now); break;
-      case MessageType::stage_forward_request: rollouts_.hold_for(p.hello.ip, l.as<StageForwardRequest>()); break;
-      case MessageType::survey_request: surveys_.survey_sites(l.as<SurveyRequest>(), p.hello.ip); break;
-      case MessageType::survey_response: surveys_.heard_survey(l.as<TrafficSurvey>(), l.body); break;
-      case MessageType::hand_over_command: leases_.told(l.as<HandOverCommand>()); break;
+      case MessageType::usage_update: usage_.on_usage_update(l.as<UsageUpdate>()); break;
+      case MessageType::quota_lease_request:
+        quotas_.on_quota_lease_request(*p.ch, l.tag, l.as<QuotaLeaseRequest>(), now);
+        break;
+      case MessageType::stage_forward_request:
+        rollouts_.on_stage_forward_request(p.hello.ip, l.as<StageForwardRequest>());
+        break;
+      case MessageType::survey_request: surveys_.on_survey_request(l.as<SurveyRequest>(), p.hello.ip); break;
+      case MessageType::survey_response: surveys_.on_survey_response(l.as<TrafficSurvey>(), l.body); break;
+      case MessageType::hand_over_command: leases_.on_hand_over_command(l.as<HandOverCommand>()); break;
       case MessageType::claim_request: idempotency_->claim(p.ch, l.tag, l.as<ClaimRequest>()); break;
       case MessageType::release_request: idempotency_->release(l.as<ReleaseRequest>()); break;
       case MessageType::store_answer: idempotency_->store(l.body, l.tag == 1); break;
       case MessageType::fetch_answer_request: idempotency_->fetch(p.ch, l.tag, l.as<FetchAnswerRequest>()); break;
-      case MessageType::stage_response: rollouts_.held(l.as<StageResponse>(), now); break;
-      case MessageType::rollout_status: rollouts_.note(l.as<RolloutStatusNotice>()); break;
+      case MessageType::stage_response: rollouts_.on_stage_response(l.as<StageResponse>(), now); break;
+      case MessageType::rollout_status: rollouts_.on_status_notice(l.as<RolloutStatusNotice>()); break;
       case MessageType::key_copy_request:  // only of a step that is on disk: else we might yet grant under the roster
                                            // before it
         if (consensus_.durable() >= consensus_.accepted())
@@ -431,7 +440,7 @@
       return context_.write(r, context_.redirect_to_controller_in_contact(evhttp_request_get_uri(r)));
     if (uri == "/-/Config.Amend") {
       if (!post) return context_.write(r, error_response(405, "wants POST"));
-      return rollouts_.amend(r, body);
+      return rollouts_.amend_configuration(r, body);
     }
     if (uri == "/-/Config.Read") {
       if (cmd != EVHTTP_REQ_GET) return context_.write(r, error_response(405, "wants GET"));
@@ -445,27 +454,27 @@
       if (!post) return context_.write(r, error_response(405, "wants POST"));
       return evacuate(r, rest, false);
     }
-    if (uri == "/-/Rollout.Status") return context_.write(r, ApiResponse{200, rollouts_.rollout_status()});
+    if (uri == "/-/Rollout.Status") return context_.write(r, ApiResponse{200, rollouts_.status_json()});
     for (auto const& [pre, o] : {std::pair{"/-/Rollout.Pause/", RolloutCommand::pause},
                                  {"/-/Rollout.Resume/", RolloutCommand::resume},
                                  {"/-/Rollout.Abort/", RolloutCommand::abort}})
       if (is(pre, rest)) {
         if (!post) return context_.write(r, error_response(405, "wants POST"));
-        return rollouts_.order_call(r, rest, o);
+        return rollouts_.command_call(r, rest, o);
       }
-    if (uri == "/-/Duty.Status") return context_.write(r, ApiResponse{200, leases_.duty_status()});
+    if (uri == "/-/Duty.Status") return context_.write(r, ApiResponse{200, leases_.status_json()});
     if (is("/-/Duty.HandOver/", rest)) {
       if (!post) return context_.write(r, error_response(405, "wants POST"));
       return leases_.hand_over_call(r, rest);
     }
     if (uri == "/-/Allowance.List" || is("/-/Allowance.Show/", rest))
-      return leases_.allowance_call(r, uri == "/-/Allowance.List" ? "" : rest, uri);
+      return quotas_.allowance_call(r, uri == "/-/Allowance.List" ? "" : rest, uri);
     for (bool const servers : {false, true}) {
       std::string const pre = servers ? "/-/Rotation." : "/-/Drain.";
       if (uri.compare(0, pre.size(), pre) == 0) return drains_.call(r, uri.substr(pre.size()), servers, post, body);
     }
     if (is("/-/Member.", rest)) return members_->call(r, rest, post);
-    if (uri == "/-/Survey") return surveys_.survey_call(r);
+    if (uri == "/-/Survey") return surveys_.answer_survey_call(r);
     if (uri == "/-/Status") return context_.write(r, ApiResponse{200, status()});
     context_.write(r, error_response(404, "no such call"));
   }
@@ -546,7 +555,7 @@
         w.EndObject();
       }
     w.EndArray();
-    leases_.write_duties(w);
+    leases_.write_leases(w);
     w.Key("evacuations");
     w.StartArray();
     if (context_.committed)
@@ -600,7 +609,7 @@
     d.accepted = consensus_.durable();
     d.wall = wall_clock_now();
     d.node = context_.settings.nodeName;
-    d.fit = leases_.fit_at_once();
+    d.fit = leases_.can_take_over_now();
     d.contact_left = contact_left(steady_now());
     if (with_mates) d.controllers = known();
     return d;
@@ -657,8 +666,10 @@
     }
     contact_changed(now);
     consensus_.tick(now);
-    rollouts_.rollouts(now);
+    rollouts_.tick(now);
     leases_.tick(now);
+    usage_.tick(now);
+    quotas_.tick(now);
     drains_.tick(now);
     directory_service_.tell_sites(now);
     members_->tick(now);
@@ -672,8 +683,8 @@
     directory_service_.catalog().expire(now);
     directory_service_.count_sites(now);
     idempotency_->forget_old(now);
-    rollouts_.forget(now);
-    surveys_.forget(now);
+    rollouts_.forget_forwarded(now);
+    surveys_.forget_forwarded(now);
     // Whoever dials us says something every few seconds: half a frame that never ends, or a machine
     // without power, is not kept for ever.
     for (auto& [id, p] : context_.sessions)
@@ -694,7 +705,7 @@
       if (std::string const t = context_.unmatched.news(); !t.empty())
         LOG4CPLUS_INFO(logger_, "Dropped, for no open question fits: " << t << ".");
     }
-    bool const duty = leases_.handing();
+    bool const duty = leases_.is_handing_over();
     if (context_.leaving_since > 0 &&
         ((consensus_.quiet() && !duty && !members_->holds_up(now) && now - context_.leaving_since > 0.5) ||
          now - context_.leaving_since > context_.settings.bounds.gracePeriodS - 1.5))
@@ -707,6 +718,8 @@
   DirectoryService directory_service_;
   RolloutService rollouts_;
   LeaseService leases_;
+  UsageService usage_;
+  QuotaService quotas_;
   SurveyService surveys_;
   DrainService drains_;
   std::unique_ptr<IdempotencyService> idempotency_;
