--- a/packages/controller/control_api.cpp
+++ b/packages/controller/control_api.cpp
@@ -18,7 +18,9 @@
                        api.respond(call, api.services_.registry.leave(call.rest, call.path));
                      }},
                     {"/-/Config.Amend", PathMatch::exact, Method::post, Contact::needed,
-                     [](ControlApi& api, Call const& call) { api.services_.rollouts.amend(call.request, call.body); }},
+                     [](ControlApi& api, Call const& call) {
+                       api.services_.rollouts.amend_configuration(call.request, call.body);
+                     }},
                     {"/-/Config.Read", PathMatch::exact, Method::get, Contact::needed,
                      [](ControlApi& api, Call const& call) { api.read_configuration(call); }},
                     {"/-/Config.", PathMatch::prefix, Method::any, Contact::needed, nullptr},
@@ -29,24 +31,24 @@
                     {"/-/Evacuation.", PathMatch::prefix, Method::any, Contact::needed, nullptr},
                     {"/-/Rollout.Status", PathMatch::exact, Method::any, Contact::not_needed,
                      [](ControlApi& api, Call const& call) {
-                       api.respond(call, {200, api.services_.rollouts.rollout_status()});
+                       api.respond(call, {200, api.services_.rollouts.status_json()});
                      }},
                     {"/-/Rollout.Pause/", PathMatch::prefix, Method::post, Contact::needed,
                      [](ControlApi& api, Call const& call) {
-                       api.services_.rollouts.order_call(call.request, call.rest, RolloutCommand::pause);
+                       api.services_.rollouts.command_call(call.request, call.rest, RolloutCommand::pause);
                      }},
                     {"/-/Rollout.Resume/", PathMatch::prefix, Method::post, Contact::needed,
                      [](ControlApi& api, Call const& call) {
-                       api.services_.rollouts.order_call(call.request, call.rest, RolloutCommand::resume);
+                       api.services_.rollouts.command_call(call.request, call.rest, RolloutCommand::resume);
                      }},
                     {"/-/Rollout.Abort/", PathMatch::prefix, Method::post, Contact::needed,
                      [](ControlApi& api, Call const& call) {
-                       api.services_.rollouts.order_call(call.request, call.rest, RolloutCommand::abort);
+                       api.services_.rollouts.command_call(call.request, call.rest, RolloutCommand::abort);
                      }},
                     {"/-/Rollout.", PathMatch::prefix, Method::any, Contact::needed, nullptr},
                     {"/-/Duty.Status", PathMatch::exact, Method::any, Contact::not_needed,
                      [](ControlApi& api, Call const& call) {
-                       api.respond(call, {200, api.services_.leases.duty_status()});
+                       api.respond(call, {200, api.services_.leases.status_json()});
                      }},
                     {"/-/Duty.HandOver/", PathMatch::prefix, Method::post, Contact::needed,
                      [](ControlApi& api, Call const& call) {
@@ -55,11 +57,11 @@
                     {"/-/Duty.", PathMatch::prefix, Method::any, Contact::needed, nullptr},
                     {"/-/Allowance.List", PathMatch::exact, Method::any, Contact::needed,
                      [](ControlApi& api, Call const& call) {
-                       api.services_.leases.allowance_call(call.request, "", call.path);
+                       api.services_.quotas.allowance_call(call.request, "", call.path);
                      }},
                     {"/-/Allowance.Show/", PathMatch::prefix, Method::any, Contact::needed,
                      [](ControlApi& api, Call const& call) {
-                       api.services_.leases.allowance_call(call.request, call.rest, call.path);
+                       api.services_.quotas.allowance_call(call.request, call.rest, call.path);
                      }},
                     {"/-/Allowance.", PathMatch::prefix, Method::any, Contact::needed, nullptr},
                     {"/-/Drain.", PathMatch::prefix, Method::any, Contact::needed,
@@ -83,7 +85,7 @@
                     {"/-/Member.Add/", PathMatch::prefix, Method::post, Contact::needed,
                      [](ControlApi& api, Call const& call) { api.services_.membership.add(call.request, call.rest); }},
                     {"/-/Survey", PathMatch::exact, Method::any, Contact::not_needed,
-                     [](ControlApi& api, Call const& call) { api.services_.surveys.survey_call(call.request); }},
+                     [](ControlApi& api, Call const& call) { api.services_.surveys.answer_survey_call(call.request); }},
                     {"/-/Status", PathMatch::exact, Method::any, Contact::not_needed,
                      [](ControlApi& api, Call const& call) {
                        api.respond(call, {200, api.status_.render()});
--- a/packages/controller/digest_gossip.cpp
+++ b/packages/controller/digest_gossip.cpp
@@ -52,7 +52,7 @@
   digest.accepted = services_.consensus.durable();
   digest.wall = wall_clock_now();
   digest.node = context_.settings.nodeName;
-  digest.fit = services_.leases.fit_at_once();
+  digest.fit = services_.leases.can_take_over_now();
   digest.contact_left = prober_.remaining(steady_now());
   if (with_addresses) digest.controllers = context_.connected_addresses();
   return digest;
@@ -80,7 +80,7 @@
   if (tag != peer.digests)
     context_.unmatched.drop(UnmatchedReason::no_question);
   else if (digest.wall > 0)  // their clock's reading belongs to the middle of the round trip
-    services_.leases.controller_clock(ip, 0.5 * (peer.digest_sent + steady_now()), digest.wall);
+    services_.usage.on_peer_clock(ip, 0.5 * (peer.digest_sent + steady_now()), digest.wall);
   on_digest(ip, digest);
 }
 
--- a/packages/controller/include/controller/controller.hpp
+++ b/packages/controller/include/controller/controller.hpp
@@ -54,6 +54,8 @@
   DirectoryService directory_;
   RolloutService rollouts_;
   LeaseService leases_;
+  UsageService usage_;
+  QuotaService quotas_;
   SurveyService surveys_;
   DrainService drains_;
   ConsensusService consensus_;
