--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -25,7 +25,9 @@
       registry_(context_),
       directory_(context_),
       rollouts_(context_, directory_),
-      leases_(context_, directory_),
+      leases_(context_),
+      usage_(context_, leases_),
+      quotas_(context_, directory_, leases_),
       surveys_(context_, directory_, registry_),
       drains_(context_, directory_, registry_, surveys_, leases_),
       consensus_(context_),
@@ -59,8 +61,8 @@
 }
 
 ControllerServices Controller::services() {
-  return {context_,   consensus_, membership_, *idempotency_, registry_,
-          directory_, rollouts_,  leases_,     surveys_,      drains_};
+  return {context_,  consensus_, membership_, *idempotency_, registry_, directory_,
+          rollouts_, leases_,    usage_,      quotas_,       surveys_,  drains_};
 }
 
 std::unique_ptr<IdempotencyService> Controller::load_disk() {
@@ -83,7 +85,7 @@
 }
 
 void Controller::connect_signals() {
-  consensus_.on_view.connect([this] { leases_.reported_to(context_.view.to_fix); });
+  consensus_.on_view.connect([this] { usage_.on_windows_fixed(context_.view.to_fix); });
   consensus_.on_value.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
   idempotency_->on_whole.connect([this] { membership_.hurry(); });
   prober_.on_change.connect([this](bool is_in_contact) { on_contact_changed(is_in_contact); });
@@ -114,14 +116,15 @@
 void Controller::term() {
   if (context_.leaving_since > 0) return;
   context_.leaving_since = steady_now();
-  leases_.leave();
+  leases_.hand_over_all();
   membership_.term(context_.leaving_since);
 }
 
 void Controller::on_state_committed(bool membership_changed) {
   prober_.update_voters();
-  leases_.duties_see(steady_now());
-  drains_.see();
+  leases_.on_committed(steady_now());
+  usage_.on_committed();
+  drains_.on_committed();
   if (membership_changed) idempotency_->roster_changed();
 }
 
@@ -157,8 +160,10 @@
   peers_.tick_links(now);
   prober_.detect_change();
   consensus_.tick(now);
-  rollouts_.rollouts(now);
+  rollouts_.tick(now);
   leases_.tick(now);
+  usage_.tick(now);
+  quotas_.tick(now);
   drains_.tick(now);
   directory_.tell_sites(now);
   membership_.tick(now);
@@ -185,8 +190,8 @@
   directory_.catalog().expire(now);
   directory_.count_sites(now);
   idempotency_->forget_old(now);
-  rollouts_.forget(now);
-  surveys_.forget(now);
+  rollouts_.forget_forwarded(now);
+  surveys_.forget_forwarded(now);
 }
 
 void Controller::warn_of_few_members(Seconds now) {
@@ -212,7 +217,7 @@
 void Controller::end_if_left(Seconds now) {
   if (context_.leaving_since == 0) return;
   Seconds const leaving_for = now - context_.leaving_since;
-  bool const has_nothing_left = consensus_.quiet() && !leases_.handing() && !membership_.holds_up(now);
+  bool const has_nothing_left = consensus_.quiet() && !leases_.is_handing_over() && !membership_.holds_up(now);
   if ((has_nothing_left && leaving_for > kMinLeaveSeconds) ||
       leaving_for > context_.settings.bounds.gracePeriodS - kLeaveReserveSeconds)
     event_base_loopbreak(context_.loop);
