--- a/docs/example/town/up.sh
+++ b/docs/example/town/up.sh
@@ -43,6 +43,6 @@
   echo $! > "$work/server-$n.pid"
 done
 sleep 3
-"$bin/dockbend" --at 127.0.1.1:8146 manifest amend "$here/manifest.json"
+"$bin/dockbend" --at 127.0.1.1:8146 configuration amend "$here/manifest.json"
 echo "up: control 127.0.1.1:8146, gateways 127.0.2.1-6:8144, files in $work"
 sleep "$for_s"
--- a/tests/golden/command_line.sh
+++ b/tests/golden/command_line.sh
@@ -52,7 +52,9 @@
     "manifest amend no-such-file" "evacuation" "evacuation begin" "evacuation finish" "evacuation preview" \
     "evacuation compare" "evacuation begin z surplus" "member" "member list surplus" "member remove" "member add" \
     "duty" "duty status surplus" "duty hand-over" "duty hand-over d" "allowance" "allowance list surplus" \
-    "allowance show" "rollout" "rollout status surplus" "rollout pause" "rollout resume" "rollout abort" \
+    "allowance show" "configuration" "configuration unknown" "configuration read surplus" "configuration amend" \
+    "lease" "lease status surplus" "lease hand-over d" "quota" "quota list surplus" "quota show" "rollout" "rollout status surplus" \
+    "rollout pause" "rollout resume" "rollout abort" \
     "drain" "drain plan" "drain start" "drain status surplus" "drain pause" "drain resume" "drain abort" \
     "drain return" "drain return 1" "rotation" "rotation plan" "rotation start" "rotation status surplus" \
     "rotation pause" "rotation resume" "rotation abort" "rotation return" "rotation return 1" \
@@ -72,7 +74,8 @@
   port=$(head -1 requests)
   printf '{"upsert":{}}' > amend.json
   for line in "status" "--json status" "manifest read" "manifest amend amend.json" "evacuation begin z" \
-    "evacuation finish z" "evacuation preview z" "--if-fits evacuation begin z" "member list" \
+    "evacuation finish z" "evacuation preview z" "--if-fits evacuation begin z" "configuration read" \
+    "configuration amend amend.json" "lease status" "lease hand-over d n" "quota list" "quota show t" "member list" \
     "member remove 10.0.0.1" "member add 10.0.0.1" "duty status" "duty hand-over d n" "allowance list" \
     "allowance show t" "rollout status" "rollout pause 1" "rollout resume 1" "rollout abort 1" "drain plan n" \
     "drain start n" "drain status" "drain pause 1" "drain resume 1" "drain abort 1" "drain return 1 u" \
--- a/tests/golden/control_api.sh
+++ b/tests/golden/control_api.sh
@@ -27,14 +27,14 @@
 "$bin/dockbend-loadgen" serve --at 127.0.0.1:29101 --id s-1 --beat "$control" --service desk --zone desk \
   > "$work/loadgen.log" 2>&1 & pids+=($!)
 for _ in $(seq 1 50); do
-  "$bin/dockbend" --at "$control" manifest amend docs/example/manifest.json >/dev/null 2>&1 && break
+  "$bin/dockbend" --at "$control" configuration amend docs/example/manifest.json >/dev/null 2>&1 && break
   sleep 0.2
 done
 cat > "$work/customer.json" <<'JSON'
 {"upsert":{"customers":[{"name":"ada","keys":["k1"],"rank":1,"homeRegions":[],
 "allowance":{"rate":60,"burst":60,"reserve":0.3},"generation":"00000001"}]}}
 JSON
-"$bin/dockbend" --at "$control" manifest amend "$work/customer.json" >/dev/null
+"$bin/dockbend" --at "$control" configuration amend "$work/customer.json" >/dev/null
 "$bin/dockbend" --at "$control" evacuation begin desk >/dev/null
 "$bin/dockbend" --at "$control" evacuation finish desk >/dev/null
 
--- a/tests/mixed_versions.sh
+++ b/tests/mixed_versions.sh
@@ -68,7 +68,7 @@
     --service desk --zone "${zones[i]}" > /dev/null 2>&1 &
 done
 sleep 4
-"$new/dockbend" --at 127.0.1.1:8146 manifest amend manifest.json > /dev/null
+"$new/dockbend" --at 127.0.1.1:8146 configuration amend manifest.json > /dev/null
 sleep 2
 "$new/dockbend-loadgen" --resolve 127.0.1.1:8143 --resolve 127.0.1.2:8143 --resolve 127.0.1.3:8143 --from oak:east --from elm:east --from ash:west \
   --retries 6 --time-left 3 --host desk.example --for 100 --json --kind read:GET:/read/x:80:::key-eve \
--- a/tests/robustness/malformed_input_ports.sh
+++ b/tests/robustness/malformed_input_ports.sh
@@ -22,7 +22,7 @@
 DOCKBEND_SETTINGS=$work/edge.conf "$bin/dockbend-proxy" > "$work/proxy.log" 2>&1 & pids+=($!)
 "$bin/dockbend-loadgen" serve --at 127.0.0.1:29001 --id s-1 --beat 127.0.0.1:28146 --service desk --zone desk > "$work/loadgen.log" 2>&1 & pids+=($!)
 for _ in $(seq 1 50); do
-  "$bin/dockbend" --at 127.0.0.1:28146 manifest amend docs/example/manifest.json >/dev/null 2>&1 && break
+  "$bin/dockbend" --at 127.0.0.1:28146 configuration amend docs/example/manifest.json >/dev/null 2>&1 && break
   sleep 0.2
 done
 rc=0
