--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -1,76 +1,111 @@
 #include "controller/consensus_service.hpp"
 
+#include <sys/stat.h>
+
+#include <algorithm>
+
 namespace dockbend {
 
-ConsensusService::ConsensusService(ControllerContext& h)
-    : context_(h),
-      proposer_(h.settings.ip,
-                [this](Ballot have, Ballot ballot) {
-                  return accepted() == ballot ? context_.acceptor->since(have) : std::nullopt;
-                }),
-      patience_((h.settings.linkMbps > 0 ? h.settings.linkMbps : 10) * 1e6 / 8) {}
+namespace {
+
+constexpr std::size_t kChunkBytes = 256 * 1024;
+constexpr double kDefaultLinkMbps = 10;
+constexpr double kBytesPerMegabit = 1e6 / 8;
+constexpr Seconds kCatchUpIntervalSeconds = 0.25;  // between two requests to one peer
+constexpr Seconds kChunkPatienceSeconds = 1.0;     // while chunks come, nobody else is asked
+constexpr Seconds kFinishPatienceSeconds = 1.5;
+constexpr int kMaxBackoffFactor = 6;
+constexpr u32 kProxyRole = 2;
+constexpr Incarnation kFounderIncarnation{1};
+
+}  // namespace
+
+ConsensusService::ConsensusService(ControllerContext& context)
+    : context_(context),
+      publisher_(context),
+      proposer_(context.settings.ip, [this](Ballot have, Ballot ballot) { return history_since(have, ballot); }),
+      timeout_((context.settings.linkMbps > 0 ? context.settings.linkMbps : kDefaultLinkMbps) * kBytesPerMegabit) {}
+
+// ---- start ----------------------------------------------------------------------------------------------------
 
 StoredState ConsensusService::open() {
-  std::string const dir = context_.settings.dataDir.empty() ? std::string("/tmp") : context_.settings.dataDir;
-  ::mkdir(dir.c_str(), 0755);
-  StoredState d;
-  try {
-    context_.disk = std::make_unique<AsyncStore>(context_.loop, dir);
-    d = context_.disk->load();
-  } catch (StorageCorruption const& e) {
-    LOG4CPLUS_ERROR(logger_, "The register in " << dir << " can't be read whole (" << e.what()
-                                                << "); this disk begins a new life.");
-    context_.disk.reset();
-    DiskStore::set_aside(dir);
-    context_.disk = std::make_unique<AsyncStore>(context_.loop, dir);
-    d = context_.disk->load();
-  }
-  bool const seed = std::any_of(context_.settings.seeds.begin(), context_.settings.seeds.end(),
-                                [&](Address const& a) { return a.ip == context_.settings.ip; });
+  Settings const& settings = context_.settings;
+  StoredState stored = load_disk(settings.dataDir.empty() ? std::string("/tmp") : settings.dataDir);
+  bool const is_first_start = !stored.head;
   // An empty disk is a new member, unless the system itself begins here.
-  bool const founder = d.fresh && context_.settings.bootstrap && seed;
-  Incarnation const l = d.head ? d.head->incarnation : founder ? Incarnation(1) : Incarnation((random64() >> 2) | 2);
-  bool const first = !d.head;
-  if (first) d.keys_filled = founder ? 1 : 0;  // a founder is of membership 0
-  if (!d.value && d.fresh && context_.settings.bootstrap) {
-    ReplicatedState f;
-    for (Address const& a : context_.settings.seeds) {
-      Member m;
-      m.ip = a.ip;
-      m.incarnation = Incarnation(1);
-      m.control = a.port;
-      m.whole = true;
-      f.membership.push_back(m);
-    }
-    std::sort(f.membership.begin(), f.membership.end(), [](Member const& a, Member const& b) { return a.ip < b.ip; });
-    d.value = f;
+  bool const is_founder = stored.fresh && settings.bootstrap && is_seed();
+  Incarnation const incarnation = stored.head  ? stored.head->incarnation
+                                  : is_founder ? kFounderIncarnation
+                                               : Incarnation((random64() >> 2) | 2);
+  if (is_first_start) stored.keys_filled = is_founder ? 1 : 0;  // a founder is of membership 0
+  if (!stored.value && stored.fresh && settings.bootstrap) stored.value = founding_state();
+  // Only at the very first start is the founding state known to be the newest.
+  if (is_first_start && stored.value) context_.committed = stored.value;
+  context_.acceptor =
+      std::make_unique<Acceptor>(incarnation, stored.head ? stored.head->promised : Ballot(), stored.value);
+  writer_ = std::make_unique<VoteWriter<AsyncStore>>(*context_.disk, stored.head ? stored.head->seq : 0);
+  if (is_first_start) {
+    write_first_vote(stored, is_founder);
+    return stored;
   }
-  // Only at the very first start is the founding value known to be the newest.
-  if (first && d.value) context_.committed = d.value;
-  context_.acceptor = std::make_unique<Acceptor>(l, d.head ? d.head->promised : Ballot(), d.value);
-  if (d.head) proposer_.saw(d.head->promised);
-  if (!first && d.value) durable_ = d.value->ballot;
-  writer_ = std::make_unique<VoteWriter<AsyncStore>>(*context_.disk, d.head ? d.head->seq : 0);
-  if (!first) {
-    context_.born = true;
-    return d;
+  proposer_.saw(stored.head->promised);
+  if (stored.value) durable_ = stored.value->ballot;
+  context_.born = true;
+  return stored;
+}
+
+StoredState ConsensusService::load_disk(std::string const& directory) {
+  ::mkdir(directory.c_str(), 0755);
+  try {
+    context_.disk = std::make_unique<AsyncStore>(context_.loop, directory);
+    return context_.disk->load();
+  } catch (StorageCorruption const& error) {
+    LOG4CPLUS_ERROR(logger_, "The state in " << directory << " can't be read completely (" << error.what()
+                                             << "); this disk begins a new incarnation.");
+  }
+  context_.disk.reset();
+  DiskStore::set_aside(directory);
+  context_.disk = std::make_unique<AsyncStore>(context_.loop, directory);
+  return context_.disk->load();
+}
+
+bool ConsensusService::is_seed() const {
+  auto const& seeds = context_.settings.seeds;
+  return std::any_of(seeds.begin(), seeds.end(), [&](Address const& seed) { return seed.ip == context_.settings.ip; });
+}
+
+ReplicatedState ConsensusService::founding_state() const {
+  ReplicatedState state;
+  for (Address const& seed : context_.settings.seeds) {
+    Member member;
+    member.ip = seed.ip;
+    member.incarnation = kFounderIncarnation;
+    member.control = seed.port;
+    member.whole = true;
+    state.membership.push_back(member);
   }
-  if (founder) context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(d.keys_filled))});
-  std::vector<StateRow> rows;
-  if (d.value) rows = rows_of(*d.value);
-  vote(std::move(rows), [this](bool ok) {
-    if (!ok) on_first_failed.emit();
-    context_.born = ok;
+  std::sort(state.membership.begin(), state.membership.end(),
+            [](Member const& a, Member const& b) { return a.ip < b.ip; });
+  return state;
+}
+
+void ConsensusService::write_first_vote(StoredState const& stored, bool is_founder) {
+  if (is_founder)
+    context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(stored.keys_filled))});
+  write_vote(stored.value ? rows_of(*stored.value) : std::vector<StateRow>(), [this](bool is_written) {
+    if (!is_written) on_first_write_failed.emit();
+    context_.born = is_written;
   });
-  return d;
 }
 
-void ConsensusService::show_first() {
+void ConsensusService::publish_restored() {
   if (!context_.committed) return;
-  show(nullptr, *context_.committed);
-  on_value.emit(false);
+  publisher_.publish(nullptr, *context_.committed);
+  on_committed.emit(false);
 }
 
+// ---- state ----------------------------------------------------------------------------------------------------
+
 Ballot ConsensusService::ballot() const {
   return context_.committed ? context_.committed->ballot : Ballot();
 }
@@ -79,386 +114,351 @@
   return context_.acceptor->state() ? context_.acceptor->state()->ballot : Ballot();
 }
 
-Ballot ConsensusService::durable() const {
-  return durable_;
+std::size_t ConsensusService::tolerated_disk_losses() const {
+  std::size_t const members = context_.committed ? context_.committed->membership.size() : 0;
+  return members == 0 ? 0 : (members - 1) / 2;
+}
+
+ReplicatedState const* ConsensusService::newest_state() const {
+  ReplicatedState const* const committed = context_.known();
+  auto const& accepted_state = context_.acceptor->state();
+  if (!accepted_state) return committed;
+  return committed == nullptr || accepted_state->ballot > committed->ballot ? &*accepted_state : committed;
 }
 
-bool ConsensusService::quiet() const {
-  return calls_.empty() && batch_.empty();
+/// Our own copy of the state that a delta starts from; null: we don't have it.
+ReplicatedState const* ConsensusService::delta_base(Ballot base) const {
+  if (base == ballot() && context_.committed) return &*context_.committed;
+  if (base == accepted() && context_.acceptor->state()) return &*context_.acceptor->state();
+  return nullptr;
 }
 
-std::size_t ConsensusService::tolerated_disk_losses() const {
-  std::size_t const members = context_.committed ? context_.committed->membership.size() : 0;
-  return members == 0 ? 0 : (members - 1) / 2;
+/// What changed after `have`, if our acceptor's history reaches back to it and ends at `committed`.
+std::optional<StateDelta> ConsensusService::history_since(Ballot have, Ballot committed) const {
+  return accepted() == committed ? context_.acceptor->since(have) : std::nullopt;
 }
 
-void ConsensusService::submit(std::function<bool(ReplicatedState&)> change,
-                              std::function<void(ReplicatedState const*)> done, Seconds patience) {
-  calls_.push_back(Call{std::move(change), std::move(done), steady_now() + patience});
-  pump();
+CatchUpRequest ConsensusService::own_catch_up_request() const {
+  ReplicatedState const* const newest = newest_state();
+  return CatchUpRequest{newest != nullptr ? newest->ballot : Ballot(), ballot(), chunks_.have(), chunks_.after()};
 }
 
-void ConsensusService::holds(std::string const& ip, Incarnation incarnation, Ballot acc) {
-  PeerController& m = context_.controller(ip);
-  m.incarnation = incarnation;
-  m.accepted = acc;
+void ConsensusService::request_catch_up(std::string const& ip) {
+  auto const peer = context_.controllers.find(ip);
+  if (peer != context_.controllers.end() && peer->second.link)
+    peer->second.link->send(MessageType::catch_up_request, 0, own_catch_up_request());
+}
+
+void ConsensusService::commit(ReplicatedState const& state) {
+  if (context_.committed && state.ballot <= context_.committed->ballot) return;
+  std::optional<ReplicatedState> const previous = std::move(context_.committed);
+  context_.committed = state;
+  proposer_.saw(state.ballot);
+  if (state.ballot >= yielding_to_ && yield_until_ > 0) {
+    yield_until_ = 0;
+    after(context_.loop, 0.02 * random01(), [this] { begin_round_if_due(); });
+  }
+  if (Acceptor::PendingWrite write = context_.acceptor->learn(state))
+    write_vote(std::move(write.rows), [this, written = state.ballot](bool is_written) {
+      if (is_written) durable_ = std::max(durable_, written);
+    });
+  for (Member const& member : state.membership)
+    context_.controller(member.ip);  // connects to it, if it is new
+  publisher_.publish(previous ? &*previous : nullptr, state);
+  bool const membership_changed = !previous || previous->epoch != state.epoch;
+  if (membership_changed) LOG4CPLUS_INFO(logger_, "Membership of " << state.membership.size() << ".");
+  on_committed.emit(membership_changed);
+}
+
+// ---- what peers send --------------------------------------------------------------------------------------------
+
+void ConsensusService::on_peer_state(std::string const& ip, Incarnation incarnation, Ballot peer_accepted) {
+  PeerController& peer = context_.controller(ip);
+  peer.incarnation = incarnation;
+  peer.accepted = peer_accepted;
   if (!context_.acceptor->state() || accepted() <= ballot()) return;
-  ReplicatedState const& s = *context_.acceptor->state();
-  auto on_disk = [&](Member const& x) {
-    if (x.ip == context_.settings.ip) return durable_ >= s.ballot && x.incarnation == context_.acceptor->incarnation();
-    auto const it = context_.controllers.find(x.ip);
-    return it != context_.controllers.end() && it->second.incarnation == x.incarnation &&
-           it->second.accepted == s.ballot;
-  };
-  if (s.stands(on_disk)) learn(ReplicatedState(s));
+  ReplicatedState const& state = *context_.acceptor->state();
+  if (state.stands([&](Member const& member) { return is_on_disk_at(member, state.ballot); }))
+    commit(ReplicatedState(state));
+}
+
+bool ConsensusService::is_on_disk_at(Member const& member, Ballot ballot) const {
+  if (member.ip == context_.settings.ip)
+    return durable_ >= ballot && member.incarnation == context_.acceptor->incarnation();
+  auto const peer = context_.controllers.find(member.ip);
+  return peer != context_.controllers.end() && peer->second.incarnation == member.incarnation &&
+         peer->second.accepted == ballot;
 }
 
-void ConsensusService::reached(std::string const& ip, PeerLink& l) {
-  for (auto& o : proposer_.resend(ip))
-    send_out(o);
-  l.send(MessageType::catch_up_request, 0, lacks());
+void ConsensusService::on_link_up(std::string const& ip, PeerLink& link) {
+  for (auto& message : proposer_.resend(ip))
+    send(message);
+  link.send(MessageType::catch_up_request, 0, own_catch_up_request());
 }
 
-void ConsensusService::ahead(PeerController& m, Ballot b, Seconds now) {
-  if (b <= ballot()) return;
-  if (context_.acceptor->state() && context_.acceptor->state()->ballot == b) {
-    learn(*context_.acceptor->state());
-  } else if (now - m.pulled > 0.25 && now - piece_at_ > 1.0) {
-    m.pulled = now;
-    m.link->send(MessageType::catch_up_request, 0, lacks());
+void ConsensusService::on_peer_ballot(PeerController& peer, Ballot peer_ballot, Seconds now) {
+  if (peer_ballot <= ballot()) return;
+  if (context_.acceptor->state() && accepted() == peer_ballot) {
+    commit(*context_.acceptor->state());
+  } else if (now - peer.pulled > kCatchUpIntervalSeconds && now - chunk_at_ > kChunkPatienceSeconds) {
+    peer.pulled = now;
+    peer.link->send(MessageType::catch_up_request, 0, own_catch_up_request());
   }
 }
 
-void ConsensusService::piece(std::string const& ip, StateChunk const& x, Seconds now) {
-  if (x.part.ballot <= ballot()) return;
-  check_ballot(x.part.ballot);
-  ChunkAssembler::Took const t = gather_.take(x);
-  if (t.whole) check_value(*t.whole);
-  if (t.whole) return learn(*t.whole);
-  if (!t.used) return;
-  piece_at_ = now;
-  if (context_.controllers.count(ip) > 0 && context_.controllers[ip].link)
-    context_.controllers[ip].link->send(MessageType::catch_up_request, 0, lacks());
+void ConsensusService::on_state_chunk(std::string const& ip, StateChunk const& chunk, Seconds now) {
+  if (chunk.part.ballot <= ballot()) return;
+  check_ballot(chunk.part.ballot);
+  ChunkAssembler::Took const taken = chunks_.take(chunk);
+  if (taken.whole) {
+    check_value(*taken.whole);
+    return commit(*taken.whole);
+  }
+  if (!taken.used) return;
+  chunk_at_ = now;
+  request_catch_up(ip);
 }
 
-void ConsensusService::on_prep(std::string const& ip, PrepareResponse const& r) {
-  patience_.answered(ip, steady_now());
-  outs(proposer_.on_prep(ip, r));
+void ConsensusService::on_prepare_response(std::string const& ip, PrepareResponse const& response) {
+  timeout_.answered(ip, steady_now());
+  send_all(proposer_.on_prep(ip, response));
 }
 
-void ConsensusService::on_acc(std::string const& ip, AcceptResponse const& r) {
-  patience_.answered(ip, steady_now());
-  outs(proposer_.on_acc(ip, r));
+void ConsensusService::on_accept_response(std::string const& ip, AcceptResponse const& response) {
+  timeout_.answered(ip, steady_now());
+  send_all(proposer_.on_acc(ip, response));
 }
 
-void ConsensusService::prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now) {
+void ConsensusService::on_prepare_request(InboundSession& session, u32 tag, PrepareRequest const& request,
+                                          Seconds now) {
   if (!context_.born) return;
-  PrepareResponse r;
-  Acceptor::PendingWrite s = context_.acceptor->prepare(q, r);
-  if (r.ok) give_way(r.ballot, now);
-  reply_after(p.ch, MessageType::prepare_response, tag, r, std::move(s));
+  PrepareResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
+  if (response.ok) yield_to(response.ballot, now);
+  respond_when_durable(session.ch, MessageType::prepare_response, tag, response, std::move(write));
 }
 
-void ConsensusService::acc(InboundSession& p, u32 tag, AcceptRequest const& a) {
+void ConsensusService::on_accept_request(InboundSession& session, u32 tag, AcceptRequest const& request) {
   if (!context_.born) return;
-  AcceptResponse r;
-  Acceptor::PendingWrite s = context_.acceptor->accept(a, r);
-  reply_after(p.ch, MessageType::accept_response, tag, r, std::move(s));
+  AcceptResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->accept(request, response);
+  respond_when_durable(session.ch, MessageType::accept_response, tag, response, std::move(write));
 }
 
-void ConsensusService::pull(InboundSession& p, CatchUpRequest const& q) {
+void ConsensusService::on_catch_up_request(InboundSession& session, CatchUpRequest const& request) {
   if (!context_.committed) return;
-  Ballot const have = q.have;
-  if (p.hello.role == 2) {
-    if (context_.view.ballot > have || context_.view.ballot.v == 0) p.ch->send(lacking(have));
+  ReplicatedState const& committed = *context_.committed;
+  if (session.hello.role == kProxyRole) {
+    Ballot const view = context_.view.ballot;
+    if (view > request.have || view.v == 0) session.ch->send(view_missing_since(request.have));
     return;
   }
-  if (context_.committed->ballot < q.won || (context_.committed->ballot == q.won && context_.committed->ballot.v != 0))
-    return;
-  CommitNotice c;
-  c.ballot = context_.committed->ballot;
-  // Who holds this value needs to hear only that it was won.
-  if (have != c.ballot || have == Ballot(0)) {
-    std::optional<StateDelta> const d = accepted() == c.ballot ? context_.acceptor->since(have) : std::nullopt;
-    if (d) {
-      c.delta = codec::pack(*d);
+  if (committed.ballot < request.won || (committed.ballot == request.won && committed.ballot.v != 0)) return;
+  CommitNotice notice;
+  notice.ballot = committed.ballot;
+  // Who has this state already needs to hear only that it is committed.
+  if (request.have != committed.ballot || request.have == Ballot(0)) {
+    if (auto const delta = history_since(request.have, committed.ballot)) {
+      notice.delta = codec::pack(*delta);
     } else {
-      auto const since = [&](Ballot b) { return accepted() == c.ballot ? context_.acceptor->since(b) : std::nullopt; };
-      RowChecksum const sum =
-          accepted() == c.ballot ? context_.acceptor->sum() : rows_between(nullptr, *context_.committed).sum;
-      StateChunk const x = piece_of(*context_.committed, sum, q.part, q.after, since, piece_bytes);
-      if (x.base != Ballot(0) || !x.last) {
-        p.ch->send(MessageType::state_chunk, 0, x);
-        return;
-      }
-      c.state = codec::pack(*context_.committed);
+      auto const since = [&](Ballot base) { return history_since(base, committed.ballot); };
+      RowChecksum const checksum =
+          accepted() == committed.ballot ? context_.acceptor->sum() : rows_between(nullptr, committed).sum;
+      StateChunk const chunk = piece_of(committed, checksum, request.part, request.after, since, kChunkBytes);
+      if (chunk.base != Ballot(0) || !chunk.last) return session.ch->send(MessageType::state_chunk, 0, chunk);
+      notice.state = codec::pack(committed);
     }
   }
-  p.ch->send(MessageType::catch_up_response, 0, c);
-}
-
-EncodedMessage ConsensusService::lacking(Ballot have) {
-  bool const some = have.v != 0 && have >= changed_since_ && have < context_.view.ballot;
-  // After a loss of power everybody lacks all of it: it is made ready once.
-  if (!some && whole_of_ == context_.view.ballot && !whole_.empty()) return whole_;
-  CommitNotice c;
-  c.ballot = context_.view.ballot;
-  if (some) {
-    StateDelta d;
-    d.base = have;
-    d.ballot = d.open = context_.view.ballot;
-    d.epoch = context_.view.epoch;
-    for (ConfigItem const& i : context_.view.items)
-      if (auto const it = changed_.find(i.key); it != changed_.end() && it->second > have) d.items.push_back(i);
-    d.evacuations_set = d.membership_set = d.duties_set = true;
-    d.evacuations = context_.view.evacuations;
-    d.membership = context_.view.membership;
-    d.duties = context_.view.duties;
-    d.to_fix = context_.view.to_fix;
-    c.delta = codec::pack(d);
-  } else {
-    c.state = codec::pack(context_.view);
-  }
-  EncodedMessage p = encode_message(MessageType::catch_up_response, codec::pack(c));
-  if (!some) {
-    whole_ = p;
-    whole_of_ = context_.view.ballot;
-  }
-  return p;
+  session.ch->send(MessageType::catch_up_response, 0, notice);
 }
 
-void ConsensusService::commit(CommitNotice const& c, std::string const& from) {
-  if (c.ballot <= ballot()) return;
-  if (!c.state.empty()) {
-    ReplicatedState const s = read_state(c.state);
-    if (s.ballot != c.ballot) throw codec::MalformedMessage("a value under another ballot");
-    learn(s);
-    return;
+void ConsensusService::on_commit(CommitNotice const& notice, std::string const& from) {
+  if (notice.ballot <= ballot()) return;
+  if (!notice.state.empty()) {
+    ReplicatedState const state = read_state(notice.state);
+    if (state.ballot != notice.ballot) throw codec::MalformedMessage("a state under another ballot");
+    return commit(state);
   }
-  if (context_.acceptor->state() && context_.acceptor->state()->ballot == c.ballot) {
-    learn(*context_.acceptor->state());
-    return;
-  }
-  if (!c.delta.empty()) {
-    StateDelta const d = read_delta(c.delta);
-    ReplicatedState const* const base = d.base == ballot() && context_.committed ? &*context_.committed
-                                        : d.base == accepted() && context_.acceptor->state()
-                                            ? &*context_.acceptor->state()
-                                            : nullptr;
-    if (base != nullptr) {
-      ReplicatedState s = *base;
-      apply(s, d);
-      learn(s);
-      return;
+  if (context_.acceptor->state() && accepted() == notice.ballot) return commit(*context_.acceptor->state());
+  if (!notice.delta.empty()) {
+    StateDelta const delta = read_delta(notice.delta);
+    if (ReplicatedState const* const base = delta_base(delta.base); base != nullptr) {
+      ReplicatedState state = *base;
+      apply(state, delta);
+      return commit(state);
     }
   }
-  if (context_.controllers.count(from) > 0 && context_.controllers[from].link)
-    context_.controllers[from].link->send(MessageType::catch_up_request, 0, lacks());
+  request_catch_up(from);
+}
+
+// ---- rounds -----------------------------------------------------------------------------------------------------
+
+void ConsensusService::submit(Change change, Outcome done, Seconds patience) {
+  queue_.push_back(QueuedChange{std::move(change), std::move(done), steady_now() + patience});
+  begin_round_if_due();
 }
 
-void ConsensusService::begin(Seconds now) {
-  finish_at_ = now + 0.2 + 0.6 * random01();
+void ConsensusService::schedule_first_finish(Seconds now) {
+  next_finish_at_ = now + 0.2 + 0.6 * random01();
 }
 
 void ConsensusService::tick(Seconds now) {
-  if (!proposer_.idle() && now - proposer_.since() > round_patience()) {
+  if (!proposer_.idle() && now - proposer_.since() > round_timeout()) {
     proposer_.abandon();
-    std::vector<Call> b;
-    b.swap(batch_);
-    for (auto it = b.rbegin(); it != b.rend(); ++it)
-      calls_.push_front(std::move(*it));
+    requeue(std::exchange(batch_, {}));
   }
-  pump();
+  begin_round_if_due();
 }
 
-void ConsensusService::finish(Seconds now) {
-  if (context_.acceptor->state() && (!context_.committed || accepted() > ballot())) {
-    if (finish_at_ == 0) finish_at_ = now + 0.8 + 0.8 * random01();
-    if (now > finish_at_ && calls_.empty() && proposer_.idle()) {
-      finish_at_ = now + 1.0 + random01();
-      submit([](ReplicatedState&) { return false; }, [](ReplicatedState const*) {}, 1.5);
-    }
-  } else {
-    finish_at_ = 0;
+void ConsensusService::finish_open_state(Seconds now) {
+  if (!context_.acceptor->state() || (context_.committed && accepted() <= ballot())) {
+    next_finish_at_ = 0;
+    return;
   }
+  if (next_finish_at_ == 0) next_finish_at_ = now + 0.8 + 0.8 * random01();
+  if (now <= next_finish_at_ || !queue_.empty() || !proposer_.idle()) return;
+  next_finish_at_ = now + 1.0 + random01();
+  submit([](ReplicatedState&) { return false; }, [](ReplicatedState const*) {}, kFinishPatienceSeconds);
 }
 
-CatchUpRequest ConsensusService::lacks() const {
-  return CatchUpRequest{best() != nullptr ? best()->ballot : Ballot(), ballot(), gather_.have(), gather_.after()};
+/// Another controller's round is under way: two that outbid each other would both be late. The wait is only courtesy;
+/// safety never rests on it.
+void ConsensusService::yield_to(Ballot ballot, Seconds now) {
+  yielding_to_ = ballot;
+  yield_until_ = now + 0.4 + 0.2 * random01();
 }
 
-void ConsensusService::vote(std::vector<StateRow> rows, std::function<void(bool)> done) {
-  writer_->write(context_.acceptor->head(), std::move(rows), std::move(done));
-}
-
-ReplicatedState const* ConsensusService::best() const {
-  ReplicatedState const* b = context_.committed ? &*context_.committed : nullptr;
-  if (context_.acceptor->state() && (b == nullptr || context_.acceptor->state()->ballot > b->ballot))
-    b = &*context_.acceptor->state();
-  return b;
+void ConsensusService::begin_round_if_due() {
+  Seconds const now = steady_now();
+  if (!proposer_.idle() || now < next_round_at_ || now < yield_until_ || !context_.born) return;
+  drop_expired_changes(now);
+  ReplicatedState const* const base = newest_state();
+  if (queue_.empty() || base == nullptr) return;
+  batch_.assign(std::make_move_iterator(queue_.begin()), std::make_move_iterator(queue_.end()));
+  queue_.clear();
+  auto const apply_batch = [this](ReplicatedState& state) {
+    bool has_changed = false;
+    for (QueuedChange& queued : batch_)
+      has_changed = queued.change(state) || has_changed;
+    return has_changed;
+  };
+  proposer_.saw(context_.acceptor->promised());
+  timeout_.begin();
+  send_all(proposer_.begin(*base, apply_batch, now,
+                           context_.committed ? std::optional<Epoch>(context_.committed->epoch) : std::nullopt));
 }
 
-void ConsensusService::give_way(Ballot b, Seconds now) {
-  way_for_ = b;
-  way_until_ = now + 0.4 + 0.2 * random01();
+void ConsensusService::drop_expired_changes(Seconds now) {
+  while (!queue_.empty() && queue_.front().until < now) {
+    QueuedChange const expired = std::move(queue_.front());
+    queue_.pop_front();
+    expired.done(nullptr);
+  }
 }
 
-void ConsensusService::pump() {
-  Seconds const now = steady_now();
-  if (!proposer_.idle() || now < next_round_ || now < way_until_ || !context_.born) return;
-  while (!calls_.empty() && calls_.front().until < now) {
-    Call const c = std::move(calls_.front());
-    calls_.pop_front();
-    c.done(nullptr);
-  }
-  ReplicatedState const* b = best();
-  if (calls_.empty() || b == nullptr) return;
-  batch_.clear();
-  while (!calls_.empty()) {
-    batch_.push_back(std::move(calls_.front()));
-    calls_.pop_front();
-  }
-  proposer_.saw(context_.acceptor->promised());
-  patience_.begin();
-  outs(proposer_.begin(
-      *b,
-      [this](ReplicatedState& s) {
-        bool any = false;
-        for (Call& c : batch_)
-          any = c.change(s) || any;
-        return any;
-      },
-      now, context_.committed ? std::optional<Epoch>(context_.committed->epoch) : std::nullopt));
+/// Puts changes back before those submitted later.
+void ConsensusService::requeue(std::vector<QueuedChange> changes) {
+  queue_.insert(queue_.begin(), std::make_move_iterator(changes.begin()), std::make_move_iterator(changes.end()));
 }
 
-Seconds ConsensusService::round_patience() const {
-  std::vector<std::string> v;
-  for (Member const& m : proposer_.base().membership)
-    if (m.ip != context_.settings.ip) v.push_back(m.ip);
-  return patience_.of(v);
+Seconds ConsensusService::round_timeout() const {
+  std::vector<std::string> others;
+  for (Member const& member : proposer_.base().membership)
+    if (member.ip != context_.settings.ip) others.push_back(member.ip);
+  return timeout_.of(others);
 }
 
-void ConsensusService::outs(std::vector<Proposer::Out> const& v) {
-  for (auto const& o : v)
-    send_out(o);
-  round_over();
+void ConsensusService::send_all(std::vector<Proposer::Out> const& messages) {
+  for (auto const& message : messages)
+    send(message);
+  end_round_if_decided();
 }
 
-void ConsensusService::send_out(Proposer::Out const& o) {
-  if (o.ip == context_.settings.ip) {
+void ConsensusService::send(Proposer::Out const& message) {
+  if (message.ip == context_.settings.ip) {
     if (!context_.born) return;
-    if (o.is_prep) {
-      PrepareResponse r;
-      Acceptor::PendingWrite s = context_.acceptor->prepare(o.prep, r);
-      if (!s.write) {
-        after(context_.loop, 0, [this, r] { outs(proposer_.on_prep(context_.settings.ip, r)); });
-        return;
-      }
-      vote(std::move(s.rows), [this, r](bool ok) {
-        if (ok) outs(proposer_.on_prep(context_.settings.ip, r));
-      });
-    } else {
-      AcceptResponse r;
-      Acceptor::PendingWrite s = context_.acceptor->accept(o.acc, r);
-      if (!s.write) {
-        after(context_.loop, 0, [this, r] { outs(proposer_.on_acc(context_.settings.ip, r)); });
-        return;
-      }
-      vote(std::move(s.rows), [this, r, b = accepted()](bool ok) {
-        if (!ok) return;
-        durable_ = std::max(durable_, b);
-        outs(proposer_.on_acc(context_.settings.ip, r));
-      });
-    }
-    return;
+    return message.is_prep ? prepare_at_own_disk(message.prep) : accept_at_own_disk(message.acc);
   }
-  PeerController& m = context_.controller(o.ip);
-  if (!m.link) return;
-  patience_.asked(o.ip, o.acc.state.size() + o.acc.delta.size(), steady_now());
-  if (o.is_prep)
-    m.link->send(MessageType::prepare_request, 0, o.prep);
+  PeerController& peer = context_.controller(message.ip);
+  if (!peer.link) return;
+  timeout_.asked(message.ip, message.acc.state.size() + message.acc.delta.size(), steady_now());
+  if (message.is_prep)
+    peer.link->send(MessageType::prepare_request, 0, message.prep);
   else
-    m.link->send(MessageType::accept_request, 0, o.acc);
+    peer.link->send(MessageType::accept_request, 0, message.acc);
 }
 
-void ConsensusService::round_over() {
+void ConsensusService::prepare_at_own_disk(PrepareRequest const& request) {
+  PrepareResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
+  auto const answer = [this, response] { send_all(proposer_.on_prep(context_.settings.ip, response)); };
+  if (!write.write) return after(context_.loop, 0, answer);
+  write_vote(std::move(write.rows), [answer](bool is_written) {
+    if (is_written) answer();
+  });
+}
+
+void ConsensusService::accept_at_own_disk(AcceptRequest const& request) {
+  AcceptResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->accept(request, response);
+  auto const answer = [this, response] { send_all(proposer_.on_acc(context_.settings.ip, response)); };
+  if (!write.write) return after(context_.loop, 0, answer);
+  write_vote(std::move(write.rows), [this, answer, written = accepted()](bool is_written) {
+    if (!is_written) return;
+    durable_ = std::max(durable_, written);
+    answer();
+  });
+}
+
+void ConsensusService::end_round_if_decided() {
   if (!proposer_.done() || batch_.empty()) return;
-  std::vector<Call> b;
-  b.swap(batch_);
+  std::vector<QueuedChange> changes = std::exchange(batch_, {});
   Seconds const now = steady_now();
   if (proposer_.won()) {
-    ReplicatedState const from = proposer_.base();
-    ReplicatedState const to = proposer_.value();
-    losses_ = 0;
-    CommitNotice c;
-    c.ballot = to.ballot;
-    c.delta = proposer_.delta().empty() ? codec::pack(delta_of(from, to)) : proposer_.delta();
-    EncodedMessage const pc = encode_message(MessageType::commit_notice, codec::pack(c));
-    for (auto& [ip, m] : context_.controllers)
-      if (m.link) m.link->send(pc);
-    learn(to);
+    ReplicatedState const base = proposer_.base();
+    ReplicatedState const state = proposer_.value();
+    lost_in_a_row_ = 0;
+    announce_won_round(base, state);
+    commit(state);
     if (proposer_.changed())
-      for (Call& x : b)
-        x.done(&to);
-    else  // another's step of the roster was brought to its end first
-      for (auto it = b.rbegin(); it != b.rend(); ++it)
-        calls_.push_front(std::move(*it));
+      for (QueuedChange& queued : changes)
+        queued.done(&state);
+    else  // the round first ended another controller's membership change
+      requeue(std::move(changes));
   } else {
-    ++losses_;
-    next_round_ = now + (0.05 + 0.15 * random01()) * std::min(losses_, 6);
-    for (auto it = b.rbegin(); it != b.rend(); ++it)
-      calls_.push_front(std::move(*it));
+    ++lost_in_a_row_;
+    next_round_at_ = now + (0.05 + 0.15 * random01()) * std::min(lost_in_a_row_, kMaxBackoffFactor);
+    requeue(std::move(changes));
   }
-  after(context_.loop, std::max(0.0, next_round_ - now), [this] { pump(); });
+  after(context_.loop, std::max(0.0, next_round_at_ - now), [this] { begin_round_if_due(); });
 }
 
-void ConsensusService::learn(ReplicatedState const& s) {
-  if (context_.committed && s.ballot <= context_.committed->ballot) return;
-  std::optional<ReplicatedState> const old = std::move(context_.committed);
-  context_.committed = s;
-  proposer_.saw(s.ballot);
-  if (s.ballot >= way_for_ && way_until_ > 0) {
-    way_until_ = 0;
-    after(context_.loop, 0.02 * random01(), [this] { pump(); });
-  }
-  if (Acceptor::PendingWrite w = context_.acceptor->learn(s))
-    vote(std::move(w.rows), [this, b = s.ballot](bool ok) {
-      if (ok) durable_ = std::max(durable_, b);
-    });
-  for (Member const& m : s.membership)
-    context_.controller(m.ip);
-  show(old ? &*old : nullptr, s);
-  bool const moved = !old || old->epoch != s.epoch;
-  if (moved) LOG4CPLUS_INFO(logger_, "Roster of " << s.membership.size() << ".");
-  on_value.emit(moved);
-}
-
-void ConsensusService::show(ReplicatedState const* old, ReplicatedState const& s) {
-  if (old != nullptr && s.open == context_.view.ballot && context_.view.ballot.v != 0) return;
-  ReplicatedState const was = std::move(context_.view);
-  context_.view = view_of(s);
-  on_view.emit();
-  StateUpdate n;
-  if (old == nullptr) {
-    changed_since_ = context_.view.ballot;
-    n.state = codec::pack(context_.view);
-    for (ConfigItem const& i : context_.view.items)
-      see_partner(i);
-  } else {
-    StateDelta const d = delta_of(was, context_.view);
-    for (ConfigItem const& i : d.items) {
-      changed_[i.key] = context_.view.ballot;
-      see_partner(i);
-    }
-    n.delta = codec::pack(d);
-  }
-  EncodedMessage const pc = encode_message(MessageType::state_update, codec::pack(n));
-  for (auto& [id, p] : context_.sessions)
-    if (p.feeding) p.ch->send(pc);
+void ConsensusService::announce_won_round(ReplicatedState const& base, ReplicatedState const& state) {
+  CommitNotice notice;
+  notice.ballot = state.ballot;
+  notice.delta = proposer_.delta().empty() ? codec::pack(delta_of(base, state)) : proposer_.delta();
+  EncodedMessage const message = encode_message(MessageType::commit_notice, codec::pack(notice));
+  for (auto& [ip, peer] : context_.controllers)
+    if (peer.link) peer.link->send(message);
+}
+
+/// Writes the acceptor's vote as it is now, with those rows of the state that it changed.
+void ConsensusService::write_vote(std::vector<StateRow> rows, std::function<void(bool is_written)> done) {
+  writer_->write(context_.acceptor->head(), std::move(rows), std::move(done));
 }
 
-void ConsensusService::see_partner(ConfigItem const& i) {
-  if (i.key[0] == 'c') context_.tenants.put(i);
+/// Sends the acceptor's response once what it promises is on disk. A disk that fails to write does not vote.
+template <class Response>
+void ConsensusService::respond_when_durable(ConnectionPtr const& connection, MessageType type, u32 tag,
+                                            Response const& response, Acceptor::PendingWrite write) {
+  if (!write.write) return connection->send(type, tag, response);
+  std::weak_ptr<Connection> const weak_connection = connection;
+  write_vote(std::move(write.rows),
+             [this, weak_connection, type, tag, response, written = accepted()](bool is_written) {
+               if (!is_written) return;
+               durable_ = std::max(durable_, written);
+               if (auto const open_connection = weak_connection.lock()) open_connection->send(type, tag, response);
+             });
 }
 
 }  // namespace dockbend
--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -46,7 +46,7 @@
   control_listener_ = listen("control", [this](evhttp_request* request) { control_api_.handle(request); });
   directory_listener_ = listen("directory", [this](evhttp_request* request) { directory_.directory(request); });
   started_at_ = steady_now();
-  consensus_.show_first();
+  consensus_.publish_restored();
   timer_ = std::make_unique<PeriodicTimer>(loop, kTickSeconds, [this] { tick(); });
 }
 
@@ -64,7 +64,7 @@
 }
 
 std::unique_ptr<IdempotencyService> Controller::load_disk() {
-  consensus_.on_first_failed.connect([this] {
+  consensus_.on_first_write_failed.connect([this] {
     LOG4CPLUS_ERROR(logger_, "The first write to the disk failed; the process ends.");
     event_base_loopbreak(context_.loop);
   });
@@ -78,13 +78,13 @@
   } catch (codec::MalformedMessage const&) {
     LOG4CPLUS_WARN(logger_, "Rows of servers or proxies on disk are malformed; the rest of them is left out.");
   }
-  consensus_.begin(steady_now());
+  consensus_.schedule_first_finish(steady_now());
   return idempotency;
 }
 
 void Controller::connect_signals() {
-  consensus_.on_view.connect([this] { leases_.reported_to(context_.view.to_fix); });
-  consensus_.on_value.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
+  consensus_.on_view().connect([this] { leases_.reported_to(context_.view.to_fix); });
+  consensus_.on_committed.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
   idempotency_->on_whole.connect([this] { membership_.hurry(); });
   prober_.on_change.connect([this](bool is_in_contact) { on_contact_changed(is_in_contact); });
   session_listener_.on_channel.connect([this](ConnectionPtr connection) { sessions_.accept(std::move(connection)); });
@@ -163,7 +163,7 @@
   directory_.tell_sites(now);
   membership_.tick(now);
   idempotency_->rebuild(now);
-  consensus_.finish(now);
+  consensus_.finish_open_state(now);
   if (now - last_slow_step_at_ < kSlowStepSeconds) prober_.probe_due(now);
 }
 
@@ -212,7 +212,7 @@
 void Controller::end_if_left(Seconds now) {
   if (context_.leaving_since == 0) return;
   Seconds const leaving_for = now - context_.leaving_since;
-  bool const has_nothing_left = consensus_.quiet() && !leases_.handing() && !membership_.holds_up(now);
+  bool const has_nothing_left = consensus_.is_idle() && !leases_.handing() && !membership_.holds_up(now);
   if ((has_nothing_left && leaving_for > kMinLeaveSeconds) ||
       leaving_for > context_.settings.bounds.gracePeriodS - kLeaveReserveSeconds)
     event_base_loopbreak(context_.loop);
--- a/packages/controller/digest_gossip.cpp
+++ b/packages/controller/digest_gossip.cpp
@@ -63,10 +63,10 @@
   if (!peer.link) return;
   for (std::string const& address : digest.controllers)
     if (is_ip(address)) context_.controller(address);
-  if (digest.incarnation.v != 0) services_.consensus.holds(ip, digest.incarnation, digest.accepted);
+  if (digest.incarnation.v != 0) services_.consensus.on_peer_state(ip, digest.incarnation, digest.accepted);
   peer.fit = digest.fit;
   peer.node = digest.node;
-  services_.consensus.ahead(peer, digest.ballot, steady_now());
+  services_.consensus.on_peer_ballot(peer, digest.ballot, steady_now());
   if (peer.off.hear(services_.registry.told_digest(), digest.digest)) services_.registry.spread_all(*peer.link);
 }
 
--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -92,7 +92,7 @@
   HandshakeRequest& hello = request.session.hello;
   hello = request.message.as<HandshakeRequest>();
   if (!is_ip(hello.ip)) throw codec::MalformedMessage("a hello without an address");
-  if (hello.role == 1) services_.consensus.holds(hello.ip, hello.incarnation, hello.accepted);
+  if (hello.role == 1) services_.consensus.on_peer_state(hello.ip, hello.incarnation, hello.accepted);
   HandshakeResponse response;
   response.ballot = services_.consensus.ballot();
   response.incarnation = context_.acceptor->incarnation();
@@ -103,19 +103,20 @@
 }
 
 void InboundSessions::on_prepare_request(Request const& request) {
-  services_.consensus.prep(request.session, request.message.tag, request.message.as<PrepareRequest>(), request.now);
+  services_.consensus.on_prepare_request(request.session, request.message.tag, request.message.as<PrepareRequest>(),
+                                         request.now);
 }
 
 void InboundSessions::on_accept_request(Request const& request) {
-  services_.consensus.acc(request.session, request.message.tag, request.message.as<AcceptRequest>());
+  services_.consensus.on_accept_request(request.session, request.message.tag, request.message.as<AcceptRequest>());
 }
 
 void InboundSessions::on_commit_notice(Request const& request) {
-  services_.consensus.commit(request.message.as<CommitNotice>(), request.session.hello.ip);
+  services_.consensus.on_commit(request.message.as<CommitNotice>(), request.session.hello.ip);
 }
 
 void InboundSessions::on_catch_up_request(Request const& request) {
-  services_.consensus.pull(request.session, request.message.as<CatchUpRequest>());
+  services_.consensus.on_catch_up_request(request.session, request.message.as<CatchUpRequest>());
 }
 
 void InboundSessions::on_server_records(Request const& request) {
@@ -152,7 +153,7 @@
   bool const may_start = subscription.have.v != 0 || context_.in_contact();
   Ballot const ours = context_.view.ballot;
   if (context_.committed && may_start && (ours > subscription.have || ours.v == 0))
-    request.session.ch->send(services_.consensus.lacking(subscription.have));
+    request.session.ch->send(services_.consensus.view_missing_since(subscription.have));
   services_.registry.feed(*request.session.ch, request.now);
 }
 
--- a/packages/controller/include/controller/consensus_service.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -1,139 +1,135 @@
-// The desk of the register: our disk's vote, our own rounds, the value in force and
-// who is told of it.
+/// This controller's part in consensus: its disk's votes, its own rounds, and the committed state.
 #pragma once
-#include <sys/stat.h>
-
-#include <algorithm>
 #include <deque>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <vector>
 
 #include "consensus/proposer.hpp"
 #include "consensus/round_timeout.hpp"
 #include "consensus/state_chunk.hpp"
 #include "controller/controller_context.hpp"
+#include "controller/view_publisher.hpp"
 
 namespace dockbend {
 
-// Invariants: nothing is said in a life's name before that life is on disk; durable is
-// the ballot of the newest value on our own disk; calls wait in their order, and those of
-// a round that was lost come before the ones that came later.
+/// Owns the proposer and writes the acceptor's votes to disk. Sets `ControllerContext::committed`, and nobody else
+/// does. Runs on the event loop; the disk answers there too.
+///
+/// Invariants: nothing is sent in the name of an incarnation before that incarnation is on disk; `durable_` is the
+/// ballot of the newest state on our own disk; changes wait in their order, and those of a lost round come before the
+/// ones submitted later.
 class ConsensusService {
  public:
-  explicit ConsensusService(ControllerContext& h);
+  using Change = std::function<bool(ReplicatedState&)>;         // applies it; false: nothing to change
+  using Outcome = std::function<void(ReplicatedState const*)>;  // the committed state; null: not known to be committed
+
+  explicit ConsensusService(ControllerContext& context);
 
-  sigc::signal<void()> on_view;          // the view changed; before the nodes we feed hear of it
-  sigc::signal<void(bool)> on_value;     // a value is in force; true: its roster is another
-  sigc::signal<void()> on_first_failed;  // the disk took no first write
+  /// The view changed; emitted before the sessions hear of it.
+  sigc::signal<void()>& on_view() { return publisher_.on_view; }
+  sigc::signal<void(bool membership_changed)> on_committed;
+  /// A new disk took no first write: this controller can't vote.
+  sigc::signal<void()> on_first_write_failed;
 
-  // Opens the disk and reads back what it holds. A disk that can't be read whole is as one
-  // that was lost: it begins a new life, and has no vote until the roster names that.
+  /// Opens the disk and reads back what it holds. A disk that can't be read completely counts as lost: it begins a new
+  /// incarnation and has no vote until the membership names that.
   StoredState open();
-  // What was read back and is known to stand is in force from the start.
-  void show_first();
-
-  Ballot ballot() const;
-  Ballot accepted() const;
-  Ballot durable() const;
-  bool quiet() const;
-  // Disks that may be lost at once with a majority left.
+  /// Publishes what was read back, if it is known to be committed.
+  void publish_restored();
+
+  Ballot ballot() const;    // of the committed state; 0: none
+  Ballot accepted() const;  // of the state that our acceptor has; 0: none
+  Ballot durable() const { return durable_; }
+  bool is_idle() const { return queue_.empty() && batch_.empty(); }
+  /// Disks that may be lost at once with a majority left.
   std::size_t tolerated_disk_losses() const;
 
-  void submit(std::function<bool(ReplicatedState&)> change, std::function<void(ReplicatedState const*)> done,
-              Seconds patience);
-
-  // ---- other members -----------------------------------------------------------------
-  // What mates say of the value they hold on disk. Once a majority holds ours, it
-  // is committed; after a start of the whole core nobody else could tell us.
-  void holds(std::string const& ip, Incarnation incarnation, Ballot acc);
-  // The way to a mate is up: what it missed of our round, and what we may have missed.
-  void reached(std::string const& ip, PeerLink& l);
-  // A mate has the value of b in force.
-  void ahead(PeerController& m, Ballot b, Seconds now);
-  // A piece of the value in force at a mate; the next is asked of the same one.
-  void piece(std::string const& ip, StateChunk const& x, Seconds now);
-  void on_prep(std::string const& ip, PrepareResponse const& r);
-  void on_acc(std::string const& ip, AcceptResponse const& r);
-  void prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now);
-  void acc(InboundSession& p, u32 tag, AcceptRequest const& a);
-  void pull(InboundSession& p, CatchUpRequest const& q);
-  // What a node that has the view of `have` lacks of ours.
-  EncodedMessage lacking(Ballot have);
-
-  void commit(CommitNotice const& c, std::string const& from);
-
-  // ---- time --------------------------------------------------------------------------
-  void begin(Seconds now);
+  /// Brings a change into the replicated state. `done` is called once, after `patience` seconds at the latest before
+  /// a round with the change begins.
+  void submit(Change change, Outcome done, Seconds patience);
+
+  // ---- what peers send --------------------------------------------------------------------------------------
+  /// A peer says which state it has on disk. Once a majority has ours, ours is committed: after a start of all
+  /// controllers nobody else could tell us.
+  void on_peer_state(std::string const& ip, Incarnation incarnation, Ballot accepted);
+  /// The link to a peer is up: it gets what it missed of our round, and is asked for what we missed.
+  void on_link_up(std::string const& ip, PeerLink& link);
+  /// A peer has the state of that ballot committed.
+  void on_peer_ballot(PeerController& peer, Ballot ballot, Seconds now);
+  /// A chunk of a peer's committed state; the next one is requested from the same peer.
+  void on_state_chunk(std::string const& ip, StateChunk const& chunk, Seconds now);
+  void on_prepare_response(std::string const& ip, PrepareResponse const& response);
+  void on_accept_response(std::string const& ip, AcceptResponse const& response);
+  void on_prepare_request(InboundSession& session, u32 tag, PrepareRequest const& request, Seconds now);
+  void on_accept_request(InboundSession& session, u32 tag, AcceptRequest const& request);
+  void on_catch_up_request(InboundSession& session, CatchUpRequest const& request);
+  /// A commit, or an answer to our catch-up request. Throws codec::MalformedMessage.
+  void on_commit(CommitNotice const& notice, std::string const& from);
+  /// A message with what a session that has the view `have` lacks.
+  EncodedMessage view_missing_since(Ballot have) { return publisher_.missing_since(have); }
+
+  // ---- periodic work ----------------------------------------------------------------------------------------
+  /// Sets when `finish_open_state` may first start a round; by chance, so that not all controllers do.
+  void schedule_first_finish(Seconds now);
+  /// Abandons a round that takes too long, and begins the next one if changes wait.
   void tick(Seconds now);
-  // A value accepted but not known to be committed is brought to an end.
-  void finish(Seconds now);
+  /// A state that was accepted but is not known to be committed is brought to an end by a round of its own.
+  void finish_open_state(Seconds now);
 
  private:
-  static std::size_t constexpr piece_bytes = 256 * 1024;
-  struct Call {
-    std::function<bool(ReplicatedState&)> change;
-    std::function<void(ReplicatedState const*)> done;  // null: not known to stand
+  struct QueuedChange {
+    Change change;
+    Outcome done;
     Seconds until = 0;
   };
 
-  CatchUpRequest lacks() const;
-
-  // Our vote as it is now, with what it changed of the value.
-  void vote(std::vector<StateRow> rows, std::function<void(bool)> done);
-
-  template <class R>
-  void reply_after(ConnectionPtr const& ch, MessageType k, u32 tag, R const& r, Acceptor::PendingWrite s) {
-    if (!s.write) {
-      ch->send(k, tag, r);
-      return;
-    }
-    std::weak_ptr<Connection> const w = ch;
-    vote(std::move(s.rows), [this, w, k, tag, r, b = accepted()](bool ok) {
-      if (!ok) return;  // a disk that takes nothing does not vote
-      durable_ = std::max(durable_, b);
-      if (auto const c = w.lock()) c->send(k, tag, r);
-    });
-  }
-
-  ReplicatedState const* best() const;
-
-  // Another's round is under way: two that outbid each other would both be late.
-  // The wait is only courtesy; safety never rests on it.
-  void give_way(Ballot b, Seconds now);
-
-  void pump();
-
-  Seconds round_patience() const;
-
-  void outs(std::vector<Proposer::Out> const& v);
-
-  void send_out(Proposer::Out const& o);
-
-  void round_over();
-
-  // Takes a committed value: in force from now on.
-  void learn(ReplicatedState const& s);
-
-  // Tells the nodes we feed what they go by, if it changed, and remembers when each
-  // item did, so that who missed some gets just those.
-  void show(ReplicatedState const* old, ReplicatedState const& s);
-
-  void see_partner(ConfigItem const& i);
+  // Start
+  StoredState load_disk(std::string const& directory);
+  bool is_seed() const;
+  ReplicatedState founding_state() const;
+  void write_first_vote(StoredState const& stored, bool is_founder);
+
+  // Rounds
+  void begin_round_if_due();
+  void drop_expired_changes(Seconds now);
+  void requeue(std::vector<QueuedChange> changes);
+  Seconds round_timeout() const;
+  void send_all(std::vector<Proposer::Out> const& messages);
+  void send(Proposer::Out const& message);
+  void prepare_at_own_disk(PrepareRequest const& request);
+  void accept_at_own_disk(AcceptRequest const& request);
+  void end_round_if_decided();
+  void announce_won_round(ReplicatedState const& base, ReplicatedState const& state);
+  void yield_to(Ballot ballot, Seconds now);
+
+  // State
+  ReplicatedState const* newest_state() const;
+  ReplicatedState const* delta_base(Ballot base) const;
+  std::optional<StateDelta> history_since(Ballot have, Ballot committed) const;
+  bool is_on_disk_at(Member const& member, Ballot ballot) const;
+  void commit(ReplicatedState const& state);
+  CatchUpRequest own_catch_up_request() const;
+  void request_catch_up(std::string const& ip);
+  void write_vote(std::vector<StateRow> rows, std::function<void(bool is_written)> done);
+  template <class Response>
+  void respond_when_durable(ConnectionPtr const& connection, MessageType type, u32 tag, Response const& response,
+                            Acceptor::PendingWrite write);
 
   ControllerContext& context_;
+  ViewPublisher publisher_;
   Proposer proposer_;
-  RoundTimeout patience_;
-  ChunkAssembler gather_;  // of a value that comes in pieces
-  Seconds piece_at_ = -1;  // when the last one came
+  RoundTimeout timeout_;
   std::unique_ptr<VoteWriter<AsyncStore>> writer_;
-  std::deque<Call> calls_;
-  std::vector<Call> batch_;
-  EncodedMessage whole_;  // the whole view, ready to send
-  Ballot whole_of_;
-  Ballot changed_since_;                   // from here on `changed_` is whole
-  std::map<std::string, Ballot> changed_;  // item -> view that last changed it
-  Ballot durable_;                         // of the newest value on our own disk
-  int losses_ = 0;
-  Ballot way_for_;
-  Seconds way_until_ = 0, finish_at_ = 0, next_round_ = 0;
+  std::deque<QueuedChange> queue_;
+  std::vector<QueuedChange> batch_;  // the changes of the round that runs
+  ChunkAssembler chunks_;            // of a state that comes in chunks
+  Seconds chunk_at_ = -1;            // when the last one came
+  Ballot durable_;
+  int lost_in_a_row_ = 0;
+  Ballot yielding_to_;  // another controller's round, let alone until yield_until_
+  Seconds yield_until_ = 0, next_finish_at_ = 0, next_round_at_ = 0;
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
--- a/packages/controller/outbound_peers.cpp
+++ b/packages/controller/outbound_peers.cpp
@@ -63,7 +63,7 @@
   PeerController& peer = context_.controllers[ip];
   peer.heard = steady_now();
   peer.told_known.clear();
-  services_.consensus.reached(ip, link);
+  services_.consensus.on_link_up(ip, link);
   context_.contact.connected(ip);
   prober_.probe(ip, link, steady_now());
   // The peer may have started anew, so it gets all servers known here. One with nearer peers gets them from those; a
@@ -100,23 +100,23 @@
   HandshakeResponse const response = reply.message.as<HandshakeResponse>();
   for (std::string const& address : response.controllers)
     if (is_ip(address)) find_or_connect(address);
-  services_.consensus.holds(reply.ip, response.incarnation, response.accepted);
+  services_.consensus.on_peer_state(reply.ip, response.incarnation, response.accepted);
 }
 
 void OutboundPeers::on_prepare_response(Reply const& reply) {
-  services_.consensus.on_prep(reply.ip, reply.message.as<PrepareResponse>());
+  services_.consensus.on_prepare_response(reply.ip, reply.message.as<PrepareResponse>());
 }
 
 void OutboundPeers::on_accept_response(Reply const& reply) {
-  services_.consensus.on_acc(reply.ip, reply.message.as<AcceptResponse>());
+  services_.consensus.on_accept_response(reply.ip, reply.message.as<AcceptResponse>());
 }
 
 void OutboundPeers::on_catch_up_response(Reply const& reply) {
-  services_.consensus.commit(reply.message.as<CommitNotice>(), reply.ip);
+  services_.consensus.on_commit(reply.message.as<CommitNotice>(), reply.ip);
 }
 
 void OutboundPeers::on_state_chunk(Reply const& reply) {
-  services_.consensus.piece(reply.ip, reply.message.as<StateChunk>(), steady_now());
+  services_.consensus.on_state_chunk(reply.ip, reply.message.as<StateChunk>(), steady_now());
 }
 
 void OutboundPeers::on_key_copy_response(Reply const& reply) {
@@ -126,7 +126,7 @@
 void OutboundPeers::on_contact_probe_response(Reply const& reply) {
   ContactProbeResponse const response = reply.message.as<ContactProbeResponse>();
   context_.contact.answered(reply.ip, reply.message.tag, response);
-  services_.consensus.ahead(reply.peer, response.ballot, steady_now());
+  services_.consensus.on_peer_ballot(reply.peer, response.ballot, steady_now());
 }
 
 void OutboundPeers::on_digest_response(Reply const& reply) {
