--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -15,7 +15,7 @@
 constexpr Seconds kChunkPatienceSeconds = 1.0;     // while chunks come, nobody else is asked
 constexpr Seconds kFinishPatienceSeconds = 1.5;
 constexpr int kMaxBackoffFactor = 6;
-constexpr u32 kProxyRole = 2;
+constexpr u32 kAgentRole = 2;
 constexpr Incarnation kFounderIncarnation{1};
 
 }  // namespace
@@ -248,7 +248,7 @@
 void ConsensusService::on_catch_up_request(InboundSession& session, CatchUpRequest const& request) {
   if (!context_.committed) return;
   ReplicatedState const& committed = *context_.committed;
-  if (session.hello.role == kProxyRole) {
+  if (session.hello.role == kAgentRole) {
     Ballot const view = context_.view.ballot;
     if (view > request.have || view.v == 0) session.ch->send(view_missing_since(request.have));
     return;
