--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -52,7 +52,7 @@
   // Erased from the loop: the signal still runs in a function of the connection that the session owns.
   connection->on_down.connect([this, id](Connection&) {
     after(context_.loop, 0, [this, id] {
-      services_.rollouts.lost_channel(id);
+      services_.rollouts.on_session_ended(id);
       context_.sessions.erase(id);
     });
   });
@@ -179,28 +179,28 @@
 }
 
 void InboundSessions::on_usage_update(Request const& request) {
-  services_.leases.join(request.message.as<UsageUpdate>());
+  services_.usage.on_usage_update(request.message.as<UsageUpdate>());
 }
 
 void InboundSessions::on_quota_lease_request(Request const& request) {
-  services_.leases.lend_to(*request.session.ch, request.message.tag, request.message.as<QuotaLeaseRequest>(),
-                           request.now);
+  services_.quotas.on_quota_lease_request(*request.session.ch, request.message.tag,
+                                          request.message.as<QuotaLeaseRequest>(), request.now);
 }
 
 void InboundSessions::on_stage_forward_request(Request const& request) {
-  services_.rollouts.hold_for(request.session.hello.ip, request.message.as<StageForwardRequest>());
+  services_.rollouts.on_stage_forward_request(request.session.hello.ip, request.message.as<StageForwardRequest>());
 }
 
 void InboundSessions::on_survey_request(Request const& request) {
-  services_.surveys.survey_sites(request.message.as<SurveyRequest>(), request.session.hello.ip);
+  services_.surveys.on_survey_request(request.message.as<SurveyRequest>(), request.session.hello.ip);
 }
 
 void InboundSessions::on_survey_response(Request const& request) {
-  services_.surveys.heard_survey(request.message.as<TrafficSurvey>(), request.message.body);
+  services_.surveys.on_survey_response(request.message.as<TrafficSurvey>(), request.message.body);
 }
 
 void InboundSessions::on_hand_over_command(Request const& request) {
-  services_.leases.told(request.message.as<HandOverCommand>());
+  services_.leases.on_hand_over_command(request.message.as<HandOverCommand>());
 }
 
 void InboundSessions::on_claim_request(Request const& request) {
@@ -220,11 +220,11 @@
 }
 
 void InboundSessions::on_stage_response(Request const& request) {
-  services_.rollouts.held(request.message.as<StageResponse>(), request.now);
+  services_.rollouts.on_stage_response(request.message.as<StageResponse>(), request.now);
 }
 
 void InboundSessions::on_rollout_status(Request const& request) {
-  services_.rollouts.note(request.message.as<RolloutStatusNotice>());
+  services_.rollouts.on_status_notice(request.message.as<RolloutStatusNotice>());
 }
 
 void InboundSessions::on_key_copy_request(Request const& request) {
--- a/packages/controller/include/controller/controller_services.hpp
+++ b/packages/controller/include/controller/controller_services.hpp
@@ -6,9 +6,11 @@
 #include "controller/idempotency_service.hpp"
 #include "controller/lease_service.hpp"
 #include "controller/membership_service.hpp"
+#include "controller/quota_service.hpp"
 #include "controller/registry_service.hpp"
 #include "controller/rollout_service.hpp"
 #include "controller/survey_service.hpp"
+#include "controller/usage_service.hpp"
 
 namespace dockbend {
 
@@ -22,6 +24,8 @@
   DirectoryService& directory;
   RolloutService& rollouts;
   LeaseService& leases;
+  UsageService& usage;
+  QuotaService& quotas;
   SurveyService& surveys;
   DrainService& drains;
 };
--- a/packages/controller/status_report.cpp
+++ b/packages/controller/status_report.cpp
@@ -21,7 +21,7 @@
   write_unmatched(writer);
   services_.membership.write_members(writer);
   write_items(writer);
-  services_.leases.write_duties(writer);
+  services_.leases.write_leases(writer);
   write_evacuations(writer);
   write_servers(writer);
   write_proxies(writer);
