--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -72,7 +72,7 @@
   idempotency_->load(d.keys, d.answers);
   try {  // what the beats bring anew, if it can't be read
     for (std::string const& r : d.servers)
-      registry_.roll().load(codec::unpack<ServerRecord>(r), steady_now());
+      registry_.roll().restore(codec::unpack<ServerRecord>(r), steady_now());
     if (!d.sites.empty()) directory_service_.load(codec::unpack<StateUpdate>(d.sites).sites, steady_now());
   } catch (codec::MalformedMessage const&) {
     LOG4CPLUS_WARN(logger_, "Rows of servers or sites on disk are malformed; the rest of them is left out.");
@@ -170,7 +170,7 @@
   m.fit = d.fit;
   m.node = d.node;
   consensus_.ahead(m, d.ballot, steady_now());
-  if (m.off.hear(registry_.told_digest(), d.digest)) registry_.spread_all(*m.link);
+  if (m.off.observe(registry_.told_digest(), d.digest)) registry_.spread_all(*m.link);
 }
 
 void Controller::took(ConnectionPtr c) {
@@ -317,7 +317,7 @@
   was_in_contact_ = in;
   LOG4CPLUS_INFO(logger_, (in ? "In contact with a majority." : "Out of contact with a majority."));
   if (in) {  // nobody could be heard meanwhile
-    registry_.roll().forgive(now);
+    registry_.roll().restart_timeouts(now);
     for (auto& [ip, m] : context_.controllers)
       m.heard = std::max(m.heard, now);
   }
@@ -518,22 +518,22 @@
   w.Key("servers");
   w.StartArray();
   for (auto const& [id, e] : registry_.roll().entries()) {
-    if (e.row.state == ServerState::gone) continue;
+    if (e.record.state == ServerState::gone) continue;
     w.StartObject();
     w.Key("id");
     w.String(id.c_str());
     w.Key("service");
-    w.String(e.row.service.c_str());
+    w.String(e.record.service.c_str());
     w.Key("zone");
-    w.String(e.row.zone.c_str());
+    w.String(e.record.zone.c_str());
     w.Key("state");
-    w.String(e.row.state == ServerState::ready ? "ready" : "draining");
+    w.String(e.record.state == ServerState::ready ? "ready" : "draining");
     w.EndObject();
   }
   w.EndArray();
   w.Key("sites");
   w.StartArray();
-  for (auto const& [f, s] : directory_service_.catalog().rows()) {
+  for (auto const& [f, s] : directory_service_.catalog().entries()) {
     w.StartObject();
     w.Key("address");
     w.String(f.c_str());
@@ -599,8 +599,8 @@
 void Controller::tick() {
   Seconds const now = steady_now();
   if (last_tick_ > 0 && now - last_tick_ > 1.0) {  // we stood still; the others did not
-    registry_.roll().forgive(now);
-    directory_service_.catalog().forgive(now);
+    registry_.roll().restart_timeouts(now);
+    directory_service_.catalog().restart_timeouts(now);
   }
   last_tick_ = now;
   bool const many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
@@ -628,8 +628,8 @@
   slow_at_ = now;
   // Out of contact beats are heard but not acknowledged, and servers go to others: silence says nothing.
   if (now - start_ > 3 * context_.settings.beatPeriodS && was_in_contact_) registry_.tick(now);
-  registry_.roll().purge(90, now);
-  directory_service_.catalog().expire(now);
+  registry_.roll().forget_gone(90, now);
+  directory_service_.catalog().drop_expired(now);
   directory_service_.count_sites(now);
   idempotency_->forget_old(now);
   rollouts_.forget(now);
--- a/packages/controller/directory_service.cpp
+++ b/packages/controller/directory_service.cpp
@@ -11,8 +11,8 @@
   sites_told_ = now;
   ProxyGossip n;
   for (std::string const& f : fresh_sites_) {
-    auto const it = catalog_.rows().find(f);
-    if (it == catalog_.rows().end() || it->second.channel == 0) continue;
+    auto const it = catalog_.entries().find(f);
+    if (it == catalog_.entries().end() || it->second.channel == 0) continue;
     n.rows.push_back(row_of(it->second, now));
   }
   fresh_sites_.clear();
@@ -34,20 +34,20 @@
   }
   for (ProxyRecord const& r : n.rows) {
     if (context_.settings.region_of(r.zone) != r.region || r.front.empty()) continue;
-    auto const it = catalog_.rows().find(r.front);
+    auto const it = catalog_.entries().find(r.front);
     // Who registered here is known first-hand.
-    if (it != catalog_.rows().end() && it->second.channel != 0 && now - it->second.heard < 1.0) continue;
+    if (it != catalog_.entries().end() && it->second.channel != 0 && now - it->second.heard < 1.0) continue;
     if (r.gone) {
-      if (it != catalog_.rows().end() && it->second.via == origin) catalog_.drop(r.front);
+      if (it != catalog_.entries().end() && it->second.via == origin) catalog_.remove(r.front);
       continue;
     }
     ProxyEntry s = site_of(r, now - r.age);
     s.via = origin;
     s.current = r.current;
-    catalog_.keep(std::move(s));
+    catalog_.record_keepalive(std::move(s));
   }
   if (n.alive) {
-    u64 const marks = catalog_.alive(origin, now);
+    u64 const marks = catalog_.renew_entries_of(origin, now);
     int& off = far_off_[origin];
     off = marks == n.marks ? 0 : off + 1;
     // News may be on its way past us; a difference that lasts is mended by the whole.
@@ -58,14 +58,14 @@
     }
   }
   // Counts change with rows that come or go; else once a tick is enough.
-  if (catalog_.rows().size() != counted_rows_) count_sites(now);
+  if (catalog_.entries().size() != counted_rows_) count_sites(now);
 }
 
 void DirectoryService::whole_for(Connection& ch, Seconds now) {
   ProxyGossip n;
   n.origin = context_.settings.ip;
   for (std::string const& f : mine_)
-    if (auto const it = catalog_.rows().find(f); it != catalog_.rows().end() && it->second.channel != 0)
+    if (auto const it = catalog_.entries().find(f); it != catalog_.entries().end() && it->second.channel != 0)
       n.rows.push_back(row_of(it->second, now));
   ch.send(MessageType::proxy_records, 0, n);
 }
@@ -82,7 +82,7 @@
   if (char const* g = evhttp_find_header(&q, "region"); g != nullptr) c.region = g;
   evhttp_clear_headers(&q);
   if (c.region.empty()) c.region = context_.settings.region_of(c.zone);
-  if (!catalog_.settled(steady_now())) return context_.write(r, error_response(503, "the table is still filling"));
+  if (!catalog_.is_settled(steady_now())) return context_.write(r, error_response(503, "the table is still filling"));
   auto const l = context_.in_contact() ? catalog_.resolve(c, context_.out) : catalog_.resolve(c, cordoned());
   if (l.empty()) return context_.write(r, error_response(503, "no site is ready"));
   schema::ResolveResponse ret;
@@ -95,8 +95,8 @@
 
 void DirectoryService::count_sites(Seconds now) {
   std::map<std::string, u32> n;
-  counted_rows_ = catalog_.rows().size();
-  for (auto const& [f, s] : catalog_.rows())
+  counted_rows_ = catalog_.entries().size();
+  for (auto const& [f, s] : catalog_.entries())
     ++n[s.zone];
   bool changed = false;
   for (auto& [z, c] : counts_)
@@ -129,7 +129,7 @@
 
 std::vector<std::string> DirectoryService::relays_for(ProxyHeartbeat const& b) const {
   std::vector<std::pair<double, std::string>> v;
-  for (auto const& [f, s] : catalog_.rows())
+  for (auto const& [f, s] : catalog_.entries())
     if (f != b.front) v.emplace_back(random01() + (s.region == b.region ? 0 : 1), f.substr(0, f.find(':')));
   std::size_t const n = std::min<std::size_t>(6, v.size());
   std::partial_sort(v.begin(), v.begin() + static_cast<long>(n), v.end());
@@ -152,8 +152,8 @@
     mine_.erase(b.front);
   }
   p.primary = b.primary;
-  catalog_.keep(std::move(s));
-  if (catalog_.rows().size() != counted_rows_) count_sites(now);
+  catalog_.record_keepalive(std::move(s));
+  if (catalog_.entries().size() != counted_rows_) count_sites(now);
 }
 
 DrainInstruction DirectoryService::told(std::string const& front) const {
@@ -198,7 +198,7 @@
   std::set<std::string> v;
   for (auto const& [name, u] : context_.out)
     v.insert(name);
-  for (auto const& [f, x] : catalog_.rows())
+  for (auto const& [f, x] : catalog_.entries())
     if (x.drain.stage != 0) v.insert(f);
   return v;
 }
@@ -223,8 +223,8 @@
   n.origin = context_.settings.ip;
   n.relay = n.alive = true;
   for (auto it = mine_.begin(); it != mine_.end();) {
-    auto const s = catalog_.rows().find(*it);
-    if (s == catalog_.rows().end() || s->second.channel == 0) {
+    auto const s = catalog_.entries().find(*it);
+    if (s == catalog_.entries().end() || s->second.channel == 0) {
       it = mine_.erase(it);
       continue;
     }
--- a/packages/controller/drain_service.cpp
+++ b/packages/controller/drain_service.cpp
@@ -45,8 +45,8 @@
   if (rotating()) ask_holdings(now);
   DrainActions m = nodes_.step(*context_.committed, seen_nodes(now), now);
   DrainActions const r = rotation_.step(*context_.committed, seen_servers(now), now);
-  m.moves.insert(m.moves.end(), r.moves.begin(), r.moves.end());
-  m.words.insert(m.words.end(), r.words.begin(), r.words.end());
+  m.transitions.insert(m.transitions.end(), r.transitions.begin(), r.transitions.end());
+  m.messages.insert(m.messages.end(), r.messages.begin(), r.messages.end());
   if (!m.empty()) bring(m);
   call_hook(now);
 }
@@ -78,7 +78,7 @@
 
 ApiResponse DrainService::check_call(DrainOrder const& o) const {
   try {
-    check(o);
+    validate(o);
   } catch (DrainOrderError const& e) {
     return error_response(e.code, e.what());
   }
@@ -108,7 +108,7 @@
       w.Key("id");
       w.String(std::to_string(p.id).c_str());
       w.Key("state");
-      w.String(pass_state_str(p.state));
+      w.String(drain_run_state_name(p.state));
       w.Key("back");
       w.String((std::to_string(p.back) + "/" + std::to_string(p.total)).c_str());
       w.Key("headroom");
@@ -135,11 +135,11 @@
       w.Key("wave");
       w.Uint(u.wave);
       w.Key("stage");
-      w.String(stage_str(u.stage));
+      w.String(drain_stage_name(u.stage));
       if (servers) {
         write_held(w, u, now);
-      } else if (auto const it = directory_service_.catalog().rows().find(u.name);
-                 it != directory_service_.catalog().rows().end()) {
+      } else if (auto const it = directory_service_.catalog().entries().find(u.name);
+                 it != directory_service_.catalog().entries().end()) {
         w.Key("keyed");
         w.Uint(it->second.drain.keyed);
         w.Key("uploads");
@@ -159,13 +159,13 @@
 
 ProxyDrainOptions DrainService::node_plan(Settings const& st) {
   ProxyDrainOptions p;
-  p.old_lists = 3 * st.bounds.ttlMaxS;  // some clients keep a list three times as long as told
+  p.max_list_age = 3 * st.bounds.ttlMaxS;  // some clients keep a list three times as long as told
   return p;
 }
 
 ServerDrainOptions DrainService::server_plan(Settings const& st) {
   ServerDrainOptions p;
-  p.spread = st.bounds.drainBoundS + 0.5;
+  p.stop_delay = st.bounds.drainBoundS + 0.5;
   return p;
 }
 
@@ -176,20 +176,20 @@
 
 std::vector<ProxyObservation> DrainService::seen_nodes(Seconds now) const {
   std::vector<ProxyObservation> v;
-  for (auto const& [f, s] : directory_service_.catalog().rows()) {
+  for (auto const& [f, s] : directory_service_.catalog().entries()) {
     ProxyObservation n;
     n.front = f;
     n.zone = s.zone;
     n.region = s.region;
-    n.ready = s.ready;
-    n.fresh = now - s.heard < 2.5;
+    n.is_ready = s.ready;
+    n.is_reachable = now - s.heard < 2.5;
     n.load = s.load;
-    n.told = static_cast<DrainStage>(std::min<u32>(s.drain.stage, static_cast<u32>(DrainStage::back)));
-    n.keyed = s.drain.keyed;
-    n.uploads = s.drain.uploads;
+    n.reported_stage = static_cast<DrainStage>(std::min<u32>(s.drain.stage, static_cast<u32>(DrainStage::back)));
+    n.open_keyed = s.drain.keyed;
+    n.open_uploads = s.drain.uploads;
     n.incarnation = s.drain.incarnation;
     n.cordoned_for = s.drain.incarnation != 0 ? s.drain.since + (now - s.heard) : 0;
-    n.current = s.current;
+    n.has_current_configuration = s.current;
     v.push_back(std::move(n));
   }
   return v;
@@ -198,7 +198,7 @@
 void DrainService::ask_holdings(Seconds now) {
   if (now - asked_ < 1.0) return;
   asked_ = now;
-  std::vector<std::string> const ids = rotation_.interest(*context_.committed);
+  std::vector<std::string> const ids = rotation_.servers_to_survey(*context_.committed);
   for (std::string const& id : ids)
     asked_at_[id] = now;
   std::erase_if(asked_at_, [&](auto const& x) { return now - x.second > 2.5; });
@@ -208,7 +208,7 @@
     x.held = s.held;
     x.had_any = true;
   });
-  for (auto const& [f, s] : directory_service_.catalog().rows())
+  for (auto const& [f, s] : directory_service_.catalog().entries())
     heard_[f].known = now;
   // Its row has been gone for as long: what it began has come to its end.
   std::erase_if(heard_, [&, far = kMaxBodyBytes()](auto const& x) {
@@ -240,14 +240,14 @@
   for (auto const& [id, e] : registry_.roll().entries()) {
     ServerObservation s;
     s.id = id;
-    s.service = e.row.service;
-    s.zone = e.row.zone;
-    s.region = context_.settings.region_of(e.row.zone);
-    s.present = e.row.state != ServerState::gone;
-    s.ready = e.row.state == ServerState::ready;
-    s.slots = e.cold_until > now ? 0.25 * e.row.capacity : e.row.capacity;
-    if (auto const it = held.find(id); it != held.end()) s.held = it->second;
-    s.told = all && asked_at_.count(id) > 0;
+    s.service = e.record.service;
+    s.zone = e.record.zone;
+    s.region = context_.settings.region_of(e.record.zone);
+    s.is_present = e.record.state != ServerState::gone;
+    s.is_ready = e.record.state == ServerState::ready;
+    s.slots = e.warming_until > now ? 0.25 * e.record.capacity : e.record.capacity;
+    if (auto const it = held.find(id); it != held.end()) s.open_work = it->second;
+    s.is_fully_reported = all && asked_at_.count(id) > 0;
     v.push_back(std::move(s));
   }
   return v;
@@ -260,14 +260,14 @@
       [this, m, fence](ReplicatedState& s) {
         Lease const* t = s.term("drain");
         if (t == nullptr || t->fence != fence || t->holder != context_.settings.nodeName) return false;
-        return apply(s, m);
+        return apply_actions(s, m);
       },
       [this, m](ReplicatedState const* s) {
         busy_ = false;
         if (s == nullptr) return;
-        for (StageTransition const& x : m.moves)
-          LOG4CPLUS_INFO(logger_, "Pass " << x.pass << ": " << x.name << " " << stage_str(x.from) << " to "
-                                          << stage_str(x.to) << ".");
+        for (StageTransition const& x : m.transitions)
+          LOG4CPLUS_INFO(logger_, "Pass " << x.run_id << ": " << x.name << " " << drain_stage_name(x.from) << " to "
+                                          << drain_stage_name(x.to) << ".");
       },
       1.0);
 }
@@ -285,7 +285,8 @@
         [this, u](int code, Seconds) {
           if (code < 200 || code > 299) return;
           DrainActions m;
-          m.moves.push_back(StageTransition{u.pass, u.name, DrainStage::empty, DrainStage::released, u.incarnation});
+          m.transitions.push_back(
+              StageTransition{u.pass, u.name, DrainStage::empty, DrainStage::released, u.incarnation});
           bring(m);
         });
     return;
--- a/packages/controller/include/controller/drain_service.hpp
+++ b/packages/controller/include/controller/drain_service.hpp
@@ -69,7 +69,7 @@
     w.Uint(t.sessions);
     w.Key("notHeard");
     w.Uint64(silent);
-    if (Seconds const s = rotation_.since(u.pass, u.name); s >= 0) {
+    if (Seconds const s = rotation_.stage_since(u.pass, u.name); s >= 0) {
       w.Key("sinceS");
       w.Double(std::round((now - s) * 10) / 10);
     }
--- a/packages/controller/registry_service.cpp
+++ b/packages/controller/registry_service.cpp
@@ -30,9 +30,9 @@
   std::vector<ServerRecord> news, back;
   for (ServerRecord r : v) {
     drained(r);
-    if (roll_.join(r, now))
-      news.push_back(*roll_.get(r.id, now));
-    else if (auto const mine = roll_.get(r.id, now); mine && mine->seq > r.seq && mine->state != r.state)
+    if (roll_.merge_record(r, now))
+      news.push_back(*roll_.find(r.id, now));
+    else if (auto const mine = roll_.find(r.id, now); mine && mine->seq > r.seq && mine->state != r.state)
       back.push_back(*mine);
   }
   spread(news, from);
@@ -64,7 +64,7 @@
   r.generation = b.generation.value_or("");
   drained(r);
   Seconds const now = steady_now();
-  if (roll_.beat(r, context_.settings.ip, now)) spread({*roll_.get(id, now)}, "");
+  if (roll_.record_heartbeat(r, context_.settings.ip, now)) spread({*roll_.find(id, now)}, "");
   if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
   schema::HeartbeatResponse ret;
   std::string const t = beat_target(b.zone);
@@ -75,13 +75,13 @@
 ApiResponse RegistryService::leave(std::string const& id, std::string const& uri) {
   if (id.empty()) return error_response(400, "id: empty");
   Seconds const now = steady_now();
-  auto cur = roll_.get(id, now);
+  auto cur = roll_.find(id, now);
   ServerRecord r;
   if (cur) r = *cur;
   r.id = id;
   r.state = ServerState::gone;
   r.seq = kDepartedSequence;
-  if (roll_.join(r, now)) spread({r}, "");
+  if (roll_.merge_record(r, now)) spread({r}, "");
   if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
   return {200, "{}"};
 }
@@ -91,7 +91,7 @@
   if (whole_.empty() || now - whole_at_ > 1.0 || whole_in_contact_ != context_.in_contact()) {
     StateUpdate n;
     n.rows_full = whole_in_contact_ = context_.in_contact();
-    n.rows = roll_.all(now);
+    n.rows = roll_.records(now);
     whole_ = encode_message(MessageType::state_update, codec::pack(n));
     whole_at_ = now;
   }
@@ -105,24 +105,24 @@
   Seconds const now = steady_now();
   std::vector<ServerRecord> news;
   for (auto const& [name, u] : context_.out) {
-    auto const e = roll_.get(name, now);
+    auto const e = roll_.find(name, now);
     if (!e || e->state != ServerState::ready) continue;
     ServerRecord r = *e;
     r.state = ServerState::draining;
-    if (roll_.join(r, now)) news.push_back(std::move(r));
+    if (roll_.merge_record(r, now)) news.push_back(std::move(r));
   }
   spread(news, "");
 }
 
 void RegistryService::spread_all(PeerLink& l) {
-  spread_to(l, roll_.all(steady_now()));
+  spread_to(l, roll_.records(steady_now()));
 }
 
 void RegistryService::tick(Seconds now) {
-  spread(roll_.expire(context_.settings.ip, 3 * context_.settings.beatPeriodS, now), "");
+  spread(roll_.mark_silent_gone(context_.settings.ip, 3 * context_.settings.beatPeriodS, now), "");
   for (auto& [ip, m] : context_.controllers)
     if (m.link && m.heard > 0 && now - m.heard > 12) {
-      std::vector<ServerRecord> const gone = roll_.expire_of(ip, now);
+      std::vector<ServerRecord> const gone = roll_.mark_gone_of_owner(ip, now);
       m.heard = now;
       spread(gone, ip);
     }
@@ -160,7 +160,7 @@
   // one copy goes abroad, so that no single mate is what a region hangs on.
   StateUpdate all, home, abroad, back;
   for (auto const& [id, from] : pending_) {
-    auto r = roll_.get(id, now);
+    auto r = roll_.find(id, now);
     if (!r) continue;
     bool const near = !from.empty() && context_.is_near(from);
     if (many) {
--- a/packages/controller/rollout_service.cpp
+++ b/packages/controller/rollout_service.cpp
@@ -34,8 +34,8 @@
   held_for_[h.id] = {leader, steady_now()};
   EncodedMessage const pc = encode_message(MessageType::stage_request, f.hold);
   for (std::string const& s : f.sites) {
-    auto const it = directory_service_.catalog().rows().find(s);
-    if (it == directory_service_.catalog().rows().end()) continue;
+    auto const it = directory_service_.catalog().entries().find(s);
+    if (it == directory_service_.catalog().entries().end()) continue;
     if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end()) p->second.ch->send(pc);
   }
 }
@@ -132,7 +132,7 @@
 
 void RolloutService::lost_channel(u64 id) {
   for (auto& [rid, g] : rollouts_)
-    for (auto const& [f, s] : directory_service_.catalog().rows())
+    for (auto const& [f, s] : directory_service_.catalog().entries())
       if (s.channel == id) g.ro.lost(f);
 }
 
@@ -146,7 +146,7 @@
 }
 
 bool RolloutService::worth_staging(ConfigChange const& a) const {
-  if (!context_.committed || directory_service_.catalog().rows().empty()) return false;
+  if (!context_.committed || directory_service_.catalog().entries().empty()) return false;
   bool standing = false;
   for (ConfigItem const& i : context_.committed->items)
     standing = standing || (i.key[0] == 'r' && !i.gone);
@@ -158,7 +158,7 @@
 
 std::map<std::string, std::string> RolloutService::in_touch(Seconds now) const {
   std::map<std::string, std::string> m;
-  for (auto const& [f, s] : directory_service_.catalog().rows())
+  for (auto const& [f, s] : directory_service_.catalog().entries())
     // What a mate told us is older by its way here.
     if (s.channel != 0 ? context_.sessions.count(s.channel) > 0 && now - s.heard < 1.3
                        : context_.up(s.via) && now - s.heard < 1.6)
@@ -229,8 +229,8 @@
   EncodedMessage const pc = encode_message(MessageType::stage_request, codec::pack(h));
   std::map<std::string, StageForwardRequest> far;
   for (std::string const& f : fronts) {
-    auto const it = directory_service_.catalog().rows().find(f);
-    if (it == directory_service_.catalog().rows().end()) continue;
+    auto const it = directory_service_.catalog().entries().find(f);
+    if (it == directory_service_.catalog().entries().end()) continue;
     if (it->second.channel != 0) {
       if (auto const p = context_.sessions.find(it->second.channel); p != context_.sessions.end())
         p->second.ch->send(pc);
--- a/packages/controller/survey_service.cpp
+++ b/packages/controller/survey_service.cpp
@@ -9,7 +9,7 @@
   u64 const id = random64() >> 16 | 1;
   Asked& q = asked_[id];
   q.r = r;
-  for (auto const& [f, s] : directory_service_.catalog().rows())
+  for (auto const& [f, s] : directory_service_.catalog().entries())
     q.waiting.insert(f);
   SurveyRequest a;
   a.id = id;
@@ -76,7 +76,7 @@
         x.evacuated = x.evacuated || (e.zone == z && e.on);
     c.zones.push_back(std::move(x));
   }
-  for (ServerRecord const& r : registry_.roll().all(steady_now())) {
+  for (ServerRecord const& r : registry_.roll().records(steady_now())) {
     if (r.state == ServerState::gone) continue;
     ServerSnapshot x;
     x.id = r.id;
@@ -118,7 +118,7 @@
   std::map<std::string, std::string> node;
   for (TrafficSurvey const& s : q.got)
     node[s.front] = s.node;
-  for (auto const& [f, s] : directory_service_.catalog().rows()) {
+  for (auto const& [f, s] : directory_service_.catalog().entries()) {
     ProxySnapshot x;
     x.front = f;
     x.node = node[f];
--- a/packages/drain/drain_order.cpp
+++ b/packages/drain/drain_order.cpp
@@ -19,7 +19,7 @@
   return hash64(codec::pack(order)) | 1;  // 0 means "digest not known" in a run
 }
 
-void check(DrainOrder const& order) {
+void validate(DrainOrder const& order) {
   run_id_of(order);
   if (!(order.headroom >= 0 && order.headroom < 1))
     throw DrainOrderError(400, "headroom: wants a share from 0 to below 1");
--- a/packages/drain/drain_run.cpp
+++ b/packages/drain/drain_run.cpp
@@ -84,11 +84,11 @@
 }
 
 bool apply_transition(ReplicatedState& state, StageTransition const& transition) {
-  DrainRun const* run = state.pass(transition.pass);
+  DrainRun const* run = state.pass(transition.run_id);
   if (run == nullptr || is_over(run->state)) return false;
   bool changed = false;
   for (DrainUnit& unit : state.units) {
-    if (unit.pass != transition.pass || unit.name != transition.name || unit.stage != transition.from) continue;
+    if (unit.pass != transition.run_id || unit.name != transition.name || unit.stage != transition.from) continue;
     if (run->state == DrainRunState::paused && unit.stage == DrainStage::waiting) continue;
     if (unit.stage == transition.to && unit.incarnation == transition.incarnation) continue;
     unit.stage = transition.to;
@@ -99,9 +99,9 @@
 }
 
 bool apply_message(ReplicatedState& state, DrainRunMessage const& message) {
-  DrainRun* run = find_run(state, message.pass);
-  if (run == nullptr || is_over(run->state) || run->why == message.why) return false;
-  run->why = message.why;
+  DrainRun* run = find_run(state, message.run_id);
+  if (run == nullptr || is_over(run->state) || run->why == message.text) return false;
+  run->why = message.text;
   return true;
 }
 
@@ -146,7 +146,7 @@
 }
 }  // namespace
 
-char const* stage_str(DrainStage stage) {
+char const* drain_stage_name(DrainStage stage) {
   switch (stage) {
     case DrainStage::waiting: return "waiting";
     case DrainStage::cordoned: return "cordoned";
@@ -158,7 +158,7 @@
   return "unknown";
 }
 
-char const* pass_state_str(DrainRunState state) {
+char const* drain_run_state_name(DrainRunState state) {
   switch (state) {
     case DrainRunState::running: return "running";
     case DrainRunState::paused: return "paused";
@@ -172,54 +172,51 @@
   return state == DrainRunState::aborted || state == DrainRunState::done;
 }
 
-DrainUnit const* unit_of(ReplicatedState const& state, std::string const& name) {
+DrainUnit const* find_unit(ReplicatedState const& state, std::string const& name) {
   auto const it =
       std::find_if(state.units.begin(), state.units.end(), [&](DrainUnit const& unit) { return unit.name == name; });
   return it == state.units.end() ? nullptr : &*it;
 }
 
-bool start(ReplicatedState& state, DrainOrder const& order, u64& id) {
-  check(order);
-  id = run_id_of(order);
+StartedRun start_run(ReplicatedState& state, DrainOrder const& order) {
+  validate(order);
+  u64 const id = run_id_of(order);
   u64 const digest = digest_of(order);
   if (DrainRun const* run = state.pass(id); run != nullptr) {
     if (run->digest != 0 && run->digest != digest) throw DrainOrderError(409, "id: another order has this number");
-    return false;
+    return {id, false};
   }
   std::set<std::string> const names = unit_names(order);
-  if (DrainRun const* run = find_active_run(state, order.servers, names); run != nullptr) {
-    id = run->id;
-    return false;
-  }
+  if (DrainRun const* run = find_active_run(state, order.servers, names); run != nullptr) return {run->id, false};
   check_no_overlap(state, names);
   drop_oldest_finished_runs(state);
   state.passes.push_back(make_run(order, id, digest));
   for (DrainOrderUnit const& unit : order.units)
     state.units.push_back(make_unit(unit, id));
-  return true;
+  return {id, true};
 }
 
-bool apply(ReplicatedState& state, DrainActions const& actions) {
+bool apply_actions(ReplicatedState& state, DrainActions const& actions) {
   bool changed = false;
-  for (StageTransition const& transition : actions.moves)
+  for (StageTransition const& transition : actions.transitions)
     changed = apply_transition(state, transition) || changed;
-  for (DrainRunMessage const& message : actions.words)
+  for (DrainRunMessage const& message : actions.messages)
     changed = apply_message(state, message) || changed;
   return update_progress(state) || changed;
 }
 
 void drop_known_messages(ReplicatedState const& state, DrainActions& actions) {
-  std::erase_if(actions.words, [&](DrainRunMessage const& message) {
-    DrainRun const* run = state.pass(message.pass);
-    return run != nullptr && run->why == message.why;
+  std::erase_if(actions.messages, [&](DrainRunMessage const& message) {
+    DrainRun const* run = state.pass(message.run_id);
+    return run != nullptr && run->why == message.text;
   });
 }
 
-bool command(ReplicatedState& state, u64 id, DrainCommand command, std::string const& unit) {
+bool control_run(ReplicatedState& state, u64 id, DrainCommand command, std::string const& unit) {
   DrainRun* run = find_run(state, id);
   if (run == nullptr) throw DrainOrderError(404, "no such pass: " + std::to_string(id));
   if (command == DrainCommand::abort && run->state == DrainRunState::aborted) return false;
-  if (is_over(run->state)) throw DrainOrderError(409, std::string("pass is ") + pass_state_str(run->state));
+  if (is_over(run->state)) throw DrainOrderError(409, std::string("pass is ") + drain_run_state_name(run->state));
   switch (command) {
     case DrainCommand::pause: return set_state(*run, DrainRunState::paused);
     case DrainCommand::resume: return set_state(*run, DrainRunState::running);
--- a/packages/drain/include/drain/drain_order.hpp
+++ b/packages/drain/include/drain/drain_order.hpp
@@ -35,7 +35,7 @@
 };
 
 /// Throws DrainOrderError (400) unless the order is complete, its numbers are in range and no unit is named twice.
-void check(DrainOrder const& order);
+void validate(DrainOrder const& order);
 
 /// The run's number in the replicated state. Throws DrainOrderError (400) unless `order.id` is a number above 0.
 u64 run_id_of(DrainOrder const& order);
--- a/packages/drain/include/drain/proxy_drain.hpp
+++ b/packages/drain/include/drain/proxy_drain.hpp
@@ -10,21 +10,23 @@
 
 /// Times in seconds.
 struct ProxyDrainOptions {
-  Seconds old_lists = 15;  // clients may use endpoint lists as old as this
-  Seconds steady = 2;      // a shortage of capacity, or its end, counts once it has lasted this long
-  Seconds settle = 0.8;    // a proxy counts as empty once it has been idle this long
+  Seconds max_list_age = 15;          // clients may use endpoint lists as old as this
+  Seconds shortage_confirmation = 2;  // a shortage of capacity, or its end, counts once it has lasted this long
+  Seconds idle_confirmation = 0.8;    // a proxy counts as empty once it has been idle this long
 };
 
 /// Plans the drain runs over proxies. Invariants:
 /// - a proxy leaves `waiting` only while its region, without it and without all that are out already, keeps the
 ///   headroom;
-/// - a proxy becomes `empty` only by its own report, in the incarnation that was drained, repeated after `settle`;
+/// - a proxy becomes `empty` only by its own report, in the incarnation that was drained, repeated after
+/// `idle_confirmation`;
 /// - the next wave begins only when every proxy of the one before is back, except those that could not be reached
 ///   before their turn; they get it once they are reached again;
 /// - nothing is ever cut off by time: a proxy that does not become empty is only reported.
 class ProxyDrainPlanner {
  public:
-  explicit ProxyDrainPlanner(ProxyDrainOptions options) : options_(options), shortages_(options.steady) {}
+  explicit ProxyDrainPlanner(ProxyDrainOptions options)
+      : options_(options), shortages_(options.shortage_confirmation) {}
 
   /// The changes that the runs in `state` need now, by what is known of the proxies. Called by the holder of the
   /// drain lease every few hundred milliseconds; the caller submits the changes.
--- a/packages/drain/include/drain/proxy_drain_state.hpp
+++ b/packages/drain/include/drain/proxy_drain_state.hpp
@@ -15,15 +15,15 @@
   explicit ProxyDrainState(u64 incarnation) : incarnation_(incarnation) {}
 
   /// Takes the instruction that came with a heartbeat's response. Returns true if the proxy begins or ceases to drain.
-  bool told(DrainInstruction const& instruction, Seconds now);
+  bool on_instruction(DrainInstruction const& instruction, Seconds now);
   /// True if new keyed requests and uploads are to be refused.
-  bool drains() const;
+  bool is_draining() const;
   /// True if the directories leave this proxy out, or it drains.
-  bool concerned() const { return instruction_.stage > 0; }
+  bool is_concerned() const { return instruction_.stage > 0; }
   /// A keyed request was answered: until its answer is on disk it still counts as open.
-  void answered(Seconds now);
+  void on_keyed_answer(Seconds now);
   /// The report for the next heartbeat. `keyed`, `uploads`: requests open now.
-  ProxyDrainStatus word(u32 keyed, u32 uploads, Seconds now);
+  ProxyDrainStatus status(u32 keyed, u32 uploads, Seconds now);
 
  private:
   u64 incarnation_;
--- a/packages/drain/include/drain/region_capacity.hpp
+++ b/packages/drain/include/drain/region_capacity.hpp
@@ -13,14 +13,14 @@
 /// A proxy as the directories know it.
 struct ProxyObservation {
   std::string front, zone, region;
-  bool ready = false;
-  bool fresh = false;                     // its keepalives arrive
-  double load = 0;                        // share in use of its processor or link, whichever is busier; 0..1
-  DrainStage told = DrainStage::waiting;  // the stage that it reports to act by
-  u32 keyed = 0, uploads = 0;             // requests that it reports as open
+  bool is_ready = false;
+  bool is_reachable = false;                        // its keepalives arrive
+  double load = 0;                                  // share in use of its processor or link, whichever is busier; 0..1
+  DrainStage reported_stage = DrainStage::waiting;  // the stage that it reports to act by
+  u32 open_keyed = 0, open_uploads = 0;             // requests that it reports as open
   u64 incarnation = 0;
-  Seconds cordoned_for = 0;  // by the proxy's own clock, so that a new lease holder need not wait again
-  bool current = false;      // it has the configuration in force
+  Seconds cordoned_for = 0;                // by the proxy's own clock, so that a new lease holder need not wait again
+  bool has_current_configuration = false;  // it has the configuration in force
 };
 
 /// What one region can carry. `nodes`: proxies that serve; `load`: their mean load.
@@ -31,8 +31,8 @@
 /// The capacity of each region with the proxies for which `without` is true out of service. Proxies that can't be
 /// reached, are not ready or are out count as no capacity, but the load of those that can be reached has to be
 /// carried by the others.
-std::map<std::string, RegionCapacity> room(std::vector<ProxyObservation> const& proxies,
-                                           std::function<bool(ProxyObservation const&)> const& without);
+std::map<std::string, RegionCapacity> region_capacities(std::vector<ProxyObservation> const& proxies,
+                                                        std::function<bool(ProxyObservation const&)> const& without);
 
 /// True if no proxy of the region serves, or less than `headroom` (share of the capacity, 0..1) is left.
 bool is_short(RegionCapacity const& capacity, double headroom);
--- a/packages/drain/proxy_drain.cpp
+++ b/packages/drain/proxy_drain.cpp
@@ -32,13 +32,14 @@
       by_front[proxy.front] = &proxy;
     for (DrainUnit const& unit : state.units)
       if (is_out_of_service(unit.stage)) out_of_service.insert(unit.name);
-    capacities = room(proxies, [this](ProxyObservation const& proxy) { return out_of_service.count(proxy.front) > 0; });
+    capacities = region_capacities(
+        proxies, [this](ProxyObservation const& proxy) { return out_of_service.count(proxy.front) > 0; });
   }
 
   /// Null if the proxy is unknown or its keepalives don't arrive.
   ProxyObservation const* find_reachable(std::string const& front) const {
     auto const it = by_front.find(front);
-    return it == by_front.end() || !it->second->fresh ? nullptr : it->second;
+    return it == by_front.end() || !it->second->is_reachable ? nullptr : it->second;
   }
 };
 
@@ -61,7 +62,7 @@
     u32 const wave = current_wave();
     for (DrainUnit const& unit : state_.units)
       if (unit.pass == run_.id && unit.wave == wave && unit.stage != DrainStage::back) plan_unit(unit);
-    actions_.words.push_back(DrainRunMessage{run_.id, shortage_message_.empty() ? message_ : shortage_message_});
+    actions_.messages.push_back(DrainRunMessage{run_.id, shortage_message_.empty() ? message_ : shortage_message_});
   }
 
  private:
@@ -108,7 +109,7 @@
   /// It may leave if its region keeps the headroom without it.
   void plan_waiting(DrainUnit const& unit, ProxyObservation const& proxy) {
     if (run_.state != DrainRunState::running) return;
-    auto const capacities = room(view_.proxies, [&](ProxyObservation const& other) {
+    auto const capacities = region_capacities(view_.proxies, [&](ProxyObservation const& other) {
       return view_.out_of_service.count(other.front) > 0 || leaving_.count(other.front) > 0 || other.front == unit.name;
     });
     RegionCapacity const& capacity = capacities.at(proxy.region);
@@ -125,7 +126,8 @@
 
   /// It drains once no client can have it on its list any more.
   void plan_cordoned(DrainUnit const& unit, ProxyObservation const& proxy) {
-    if (proxy.cordoned_for >= options_.old_lists && proxy.incarnation != 0 && proxy.told >= DrainStage::cordoned)
+    if (proxy.cordoned_for >= options_.max_list_age && proxy.incarnation != 0 &&
+        proxy.reported_stage >= DrainStage::cordoned)
       transition(unit, DrainStage::draining, proxy.incarnation);
   }
 
@@ -134,24 +136,26 @@
       transition(unit, DrainStage::draining, proxy.incarnation);  // it restarted under way: drain the new process
       return;
     }
-    bool const is_idle = proxy.told == DrainStage::draining && proxy.keyed == 0 && proxy.uploads == 0;
+    bool const is_idle =
+        proxy.reported_stage == DrainStage::draining && proxy.open_keyed == 0 && proxy.open_uploads == 0;
     std::optional<Seconds> const idle_for = times.observe_idle(is_idle, now_);
-    if (idle_for && *idle_for >= options_.settle) transition(unit, DrainStage::empty, unit.incarnation);
+    if (idle_for && *idle_for >= options_.idle_confirmation) transition(unit, DrainStage::empty, unit.incarnation);
     if (!is_idle && now_ - times.stage_since > run_.patience)
-      set_message(
-          format("%s: not empty, %.0f keyed and %.0f uploads are open", label(unit), proxy.keyed, proxy.uploads));
+      set_message(format("%s: not empty, %.0f keyed and %.0f uploads are open", label(unit), proxy.open_keyed,
+                         proxy.open_uploads));
   }
 
   /// It is back once another process serves in its place with the configuration in force.
   void plan_empty(DrainUnit const& unit, ProxyObservation const& proxy) {
     bool const was_restarted = proxy.incarnation != 0 && proxy.incarnation != unit.incarnation;
-    if (was_restarted && proxy.ready && proxy.current) return transition(unit, DrainStage::back, proxy.incarnation);
+    if (was_restarted && proxy.is_ready && proxy.has_current_configuration)
+      return transition(unit, DrainStage::back, proxy.incarnation);
     bool const same_process = proxy.incarnation == unit.incarnation;
     set_message(label(unit) + (same_process ? ": empty, waits to be restarted" : ": restarted, not ready yet"));
   }
 
   void transition(DrainUnit const& unit, DrainStage to, u64 incarnation) {
-    actions_.moves.push_back(StageTransition{run_.id, unit.name, unit.stage, to, incarnation});
+    actions_.transitions.push_back(StageTransition{run_.id, unit.name, unit.stage, to, incarnation});
   }
 
   /// The first message of a step stands.
--- a/packages/drain/proxy_drain_state.cpp
+++ b/packages/drain/proxy_drain_state.cpp
@@ -9,33 +9,33 @@
 }
 }  // namespace
 
-bool ProxyDrainState::told(DrainInstruction const& instruction, Seconds now) {
-  bool const was_draining = drains();
-  if (!concerned()) concerned_since_ = now;
+bool ProxyDrainState::on_instruction(DrainInstruction const& instruction, Seconds now) {
+  bool const was_draining = is_draining();
+  if (!is_concerned()) concerned_since_ = now;
   instruction_ = instruction;
-  return drains() != was_draining;
+  return is_draining() != was_draining;
 }
 
-bool ProxyDrainState::drains() const {
+bool ProxyDrainState::is_draining() const {
   return instruction_.stage >= static_cast<u32>(DrainStage::draining) && instruction_.incarnation == incarnation_;
 }
 
-void ProxyDrainState::answered(Seconds now) {
-  if (drains()) answered_at_.push_back(now);
+void ProxyDrainState::on_keyed_answer(Seconds now) {
+  if (is_draining()) answered_at_.push_back(now);
 }
 
-ProxyDrainStatus ProxyDrainState::word(u32 keyed, u32 uploads, Seconds now) {
-  ProxyDrainStatus status;
-  status.incarnation = incarnation_;
-  if (!concerned()) return status;
+ProxyDrainStatus ProxyDrainState::status(u32 keyed, u32 uploads, Seconds now) {
+  ProxyDrainStatus report;
+  report.incarnation = incarnation_;
+  if (!is_concerned()) return report;
   while (!answered_at_.empty() && now - answered_at_.front() > kAnswerStoreTime)
     answered_at_.pop_front();
-  bool const follows_instruction = drains() || is_stage(instruction_, DrainStage::cordoned);
-  status.stage = follows_instruction ? instruction_.stage : 0;
-  status.keyed = keyed + static_cast<u32>(answered_at_.size());
-  status.uploads = uploads;
-  status.since = now - concerned_since_;
-  return status;
+  bool const follows_instruction = is_draining() || is_stage(instruction_, DrainStage::cordoned);
+  report.stage = follows_instruction ? instruction_.stage : 0;
+  report.keyed = keyed + static_cast<u32>(answered_at_.size());
+  report.uploads = uploads;
+  report.since = now - concerned_since_;
+  return report;
 }
 
 }  // namespace dockbend
--- a/packages/drain/region_capacity.cpp
+++ b/packages/drain/region_capacity.cpp
@@ -2,15 +2,15 @@
 
 namespace dockbend {
 
-std::map<std::string, RegionCapacity> room(std::vector<ProxyObservation> const& proxies,
-                                           std::function<bool(ProxyObservation const&)> const& without) {
+std::map<std::string, RegionCapacity> region_capacities(std::vector<ProxyObservation> const& proxies,
+                                                        std::function<bool(ProxyObservation const&)> const& without) {
   std::map<std::string, RegionCapacity> capacities;
   for (ProxyObservation const& proxy : proxies) {
     RegionCapacity& capacity = capacities[proxy.region];
     capacity.region = proxy.region;
-    if (!proxy.fresh) continue;
+    if (!proxy.is_reachable) continue;
     capacity.load += proxy.load;
-    capacity.nodes += proxy.ready && !without(proxy) ? 1 : 0;
+    capacity.nodes += proxy.is_ready && !without(proxy) ? 1 : 0;
   }
   for (auto& [region, capacity] : capacities)
     capacity.load = capacity.nodes > 0 ? capacity.load / capacity.nodes : capacity.load;
--- a/packages/drain/server_drain.cpp
+++ b/packages/drain/server_drain.cpp
@@ -31,10 +31,10 @@
       if (is_leaving(unit)) leaving.insert(unit.name);
     for (ServerObservation const& server : servers) {
       by_id[server.id] = &server;
-      if (!server.present) continue;
+      if (!server.is_present) continue;
       SlotUsage& usage = usage_of(server);
-      usage.used += server.held.sessions;
-      if (!server.ready || leaving.count(server.id) > 0) continue;
+      usage.used += server.open_work.sessions;
+      if (!server.is_ready || leaving.count(server.id) > 0) continue;
       usage.available += server.slots;
       ++serving[server.service];
     }
@@ -45,7 +45,7 @@
   /// Null if the server has left or was lost.
   ServerObservation const* find_present(std::string const& id) const {
     auto const it = by_id.find(id);
-    return it == by_id.end() || !it->second->present ? nullptr : it->second;
+    return it == by_id.end() || !it->second->is_present ? nullptr : it->second;
   }
 };
 
@@ -63,7 +63,7 @@
     for (DrainUnit const& unit : state_.units)
       if (unit.pass == run_.id) plan_unit(unit);
     if (run_.state == DrainRunState::running) plan_departures();
-    actions_.words.push_back(DrainRunMessage{run_.id, message_});
+    actions_.messages.push_back(DrainRunMessage{run_.id, message_});
   }
 
  private:
@@ -84,20 +84,20 @@
   }
 
   void plan_draining(DrainUnit const& unit, ServerObservation const& server, UnitTimes& times) {
-    OpenWork const& open = server.held;
-    bool const is_idle = server.told && open.uploads == 0 && open.keyed == 0 && open.sessions == 0;
+    OpenWork const& open = server.open_work;
+    bool const is_idle = server.is_fully_reported && open.uploads == 0 && open.keyed == 0 && open.sessions == 0;
     Seconds const draining_for = now_ - times.stage_since;
     std::optional<Seconds> const idle_for = times.observe_idle(is_idle, now_);
-    if (idle_for && *idle_for >= options_.settle && draining_for >= options_.spread)
+    if (idle_for && *idle_for >= options_.idle_confirmation && draining_for >= options_.stop_delay)
       transition(unit.name, unit.stage, DrainStage::empty);
     if (!is_idle && draining_for > run_.patience) set_message(busy_message(server));
   }
 
   static std::string busy_message(ServerObservation const& server) {
-    if (!server.told) return server.id + ": not every proxy has said what it holds";
+    if (!server.is_fully_reported) return server.id + ": not every proxy has said what it holds";
     char text[160];
     std::snprintf(text, sizeof text, "%s: not empty, %u uploads, %u keyed, %u sessions", server.id.c_str(),
-                  server.held.uploads, server.held.keyed, server.held.sessions);
+                  server.open_work.uploads, server.open_work.keyed, server.open_work.sessions);
     return text;
   }
 
@@ -112,14 +112,14 @@
         continue;
       }
       SlotUsage& usage = view_.usage_of(*server);
-      double const remaining = usage.available - (server->ready ? server->slots : 0);
+      double const remaining = usage.available - (server->is_ready ? server->slots : 0);
       bool const lacks_headroom = remaining <= 0 || usage.used > (1 - run_.headroom) * remaining;
-      if (server->ready && lacks_headroom) {
+      if (server->is_ready && lacks_headroom) {
         set_message(headroom_message(*server, usage.used, remaining));
         continue;
       }
       transition(server->id, DrainStage::waiting, DrainStage::draining);
-      if (!server->ready) continue;
+      if (!server->is_ready) continue;
       usage.available = remaining;
       --view_.serving[server->service];
     }
@@ -141,7 +141,7 @@
   }
 
   void transition(std::string const& name, DrainStage from, DrainStage to) {
-    actions_.moves.push_back(StageTransition{run_.id, name, from, to, 0});
+    actions_.transitions.push_back(StageTransition{run_.id, name, from, to, 0});
   }
 
   /// The first message of a step stands.
@@ -165,8 +165,9 @@
 
 bool leaves_before(ServerObservation const& a, ServerObservation const& b) {
   auto const rank = [](ServerObservation const& server) {
-    OpenWork const& open = server.held;
-    return std::make_tuple(!server.told, open.uploads > 0, open.bytes, open.age, open.keyed, open.sessions, server.id);
+    OpenWork const& open = server.open_work;
+    return std::make_tuple(!server.is_fully_reported, open.uploads > 0, open.bytes, open.age, open.keyed, open.sessions,
+                           server.id);
   };
   return rank(a) < rank(b);
 }
@@ -183,21 +184,21 @@
   return actions;
 }
 
-std::vector<std::string> ServerDrainPlanner::interest(ReplicatedState const& state) {
+std::vector<std::string> ServerDrainPlanner::servers_to_survey(ReplicatedState const& state) {
   std::vector<std::string> names, waiting;
   for (DrainUnit const& unit : state.units) {
     DrainRun const* run = state.pass(unit.pass);
     if (run == nullptr || !run->servers || unit.stage == DrainStage::back) continue;
     (unit.stage == DrainStage::waiting ? waiting : names).push_back(unit.name);
   }
-  for (std::size_t i = 0; i < std::min(options_.window, waiting.size()); ++i)
+  for (std::size_t i = 0; i < std::min(options_.survey_window, waiting.size()); ++i)
     names.push_back(waiting[(cursor_ + i) % waiting.size()]);
   // Windows overlap: each waiting server is asked about at several calls in a row.
-  if (!waiting.empty()) cursor_ = (cursor_ + options_.window / 4) % waiting.size();
+  if (!waiting.empty()) cursor_ = (cursor_ + options_.survey_window / 4) % waiting.size();
   return names;
 }
 
-Seconds ServerDrainPlanner::since(u64 run_id, std::string const& name) const {
+Seconds ServerDrainPlanner::stage_since(u64 run_id, std::string const& name) const {
   return clock_.stage_since(run_id, name).value_or(-1);
 }
 
--- a/packages/operator_commands/operator_commands.cpp
+++ b/packages/operator_commands/operator_commands.cpp
@@ -128,12 +128,13 @@
 }
 
 CommandResult StartDrain::apply(ReplicatedState& s) const {
-  u64 id = 0;
+  StartedRun run;
   ReplicatedState t;
   t.passes = s.passes;
   t.units = s.units;
   try {
-    if (!start(t, o_, id)) return taken(false, id);
+    run = start_run(t, o_);
+    if (!run.is_new) return taken(false, run.id);
   } catch (DrainOrderError const& e) {
     return refused(ruling_of(e), e.what());
   }
@@ -141,7 +142,7 @@
   if (passes_of(s) != known_) return unsettled("other passes came between");
   s.passes = std::move(t.passes);
   s.units = std::move(t.units);
-  return taken(true, id);
+  return taken(true, run.id);
 }
 
 ControlDrain::ControlDrain(u64 id, DrainCommand o, std::string unit, ReplicatedState const* known)
@@ -157,7 +158,7 @@
   bool const so = p->state == (o_ == DrainCommand::pause ? DrainRunState::paused : DrainRunState::running);
   if (!over && (!since_ || (turns && !so && p->turn > *since_))) return unsettled("another order came between");
   try {
-    bool const changed = command(s, id_, o_, unit_);
+    bool const changed = control_run(s, id_, o_, unit_);
     bool const first = (p->heard & bit(o_)) == 0;
     p->heard |= bit(o_);
     if (changed && turns) ++p->turn;
--- a/packages/planning/drain_waves.cpp
+++ b/packages/planning/drain_waves.cpp
@@ -2,244 +2,205 @@
 
 #include <algorithm>
 #include <cmath>
-
-#include "directory/directory.hpp"
+#include <map>
+#include <set>
 
 namespace dockbend {
 namespace {
-int const draws = 300;  // lists drawn for a zone: a share is then known to a few hundredths
+double constexpr kLoadNoise = 0.02;  // a load risen by no more is not a wave's doing
+double constexpr kNegligibleRate = 1e-9;
+double constexpr kMinLoadLimit = 0.01;  // divides
+double constexpr kShrinkFactor = 0.8;   // of a wave that does not fit
+
+using Fronts = std::set<std::string>;
+using Regions = std::set<std::string>;
 
-std::string kind_of(FleetSnapshot const& c, std::string const& route) {
-  for (RouteSnapshot const& l : c.routes)
-    if (l.name == route) return l.kind;
-  return "unknown";
+/// Regions that the wave takes proxies from must keep the headroom; others must not get worse than that by it.
+bool is_affected(RegionForecast const& region, Regions const& touched) {
+  return touched.count(region.region) > 0 || region.load > region.now + kLoadNoise;
 }
 
-struct Before {
-  std::map<std::string, ProxySnapshot const*> sites;           // by front
-  std::map<std::string, std::map<std::string, double>> kinds;  // front -> kind -> rate
-  explicit Before(FleetSnapshot const& c) {
-    for (ProxySnapshot const& s : c.sites)
-      sites[s.front] = &s;
-    for (TrafficSurvey const& v : c.surveys)
-      for (RouteRate const& l : v.routes)
-        kinds[v.front][kind_of(c, l.route)] += l.rate;
-  }
-};
+bool fits(DrainWave const& wave, double headroom, Regions const& touched) {
+  return std::all_of(wave.regions.begin(), wave.regions.end(), [&](RegionForecast const& region) {
+    if (!is_affected(region, touched)) return true;
+    return region.nodes > 0 && region.load <= 1 - headroom && region.peak <= std::max(1.0, 1 - headroom / 2);
+  });
+}
 
-// Shares of a zone's clients over the sites left, as the selector would send them; loads
-// are as the directory would see them.
-std::map<std::string, double> shares(std::vector<ProxyEntry> const& left, ProxySnapshot const& from) {
-  std::map<std::string, double> m;
-  std::vector<ProxyEntry const*> table;
-  for (ProxyEntry const& s : left)
-    if (s.ready) table.push_back(&s);
-  NearestSelector const sel;
-  ClientContext who;
-  who.zone = from.zone;
-  who.region = from.region;
-  for (int i = 0; i < draws; ++i) {
-    auto const l = sel.choose(table, who);
-    for (ProxyEntry const* s : l)
-      m[s->front] += 1.0 / static_cast<double>(l.size()) / draws;
+/// The lowest rank of each kind's routes.
+std::map<std::string, u32> rank_by_kind(FleetSnapshot const& fleet) {
+  std::map<std::string, u32> ranks;
+  for (RouteSnapshot const& route : fleet.routes) {
+    auto const [it, is_new] = ranks.try_emplace(route.kind, route.rank);
+    if (!is_new) it->second = std::min(it->second, route.rank);
   }
-  return m;
+  return ranks;
 }
-}  // namespace
 
-DrainWave moved(FleetSnapshot const& c, std::set<std::string> const& out) {
-  Before const b(c);
-  std::map<std::string, double> load;
-  std::map<std::string, std::map<std::string, double>> kinds = b.kinds;
-  std::map<std::string, std::vector<ProxySnapshot const*>> leaving;  // by zone
-  std::vector<ProxyEntry> left;
-  for (ProxySnapshot const& s : c.sites) {
-    if (out.count(s.front) > 0) {
-      leaving[s.zone].push_back(&s);
-      kinds.erase(s.front);
-      continue;
-    }
-    ProxyEntry x;
-    x.front = s.front;
-    x.zone = s.zone;
-    x.region = s.region;
-    x.ready = s.ready;
-    x.load = s.load;
-    left.push_back(std::move(x));
-    load[s.front] = s.load;
-  }
-  // Clients follow in steps: the directory sees loads rise and sends the rest elsewhere.
-  int const steps = 3;
-  for (int k = 0; k < steps; ++k)
-    for (auto const& [zone, l] : leaving) {
-      auto const to = shares(left, *l.front());
-      for (ProxySnapshot const* s : l)
-        for (auto const& [front, part] : to) {
-          load[front] += s->load * part / steps;
-          if (auto const it = b.kinds.find(s->front); it != b.kinds.end())
-            for (auto const& [kind, r] : it->second)
-              kinds[front][kind] += r * part / steps;
-        }
-      for (ProxyEntry& x : left)
-        x.load = load[x.front];
-    }
-  DrainWave w;
-  w.fronts.assign(out.begin(), out.end());
-  for (std::string const& f : out) {
-    auto const it = b.sites.find(f);
-    w.nodes.push_back(it == b.sites.end() || it->second->node.empty() ? f : it->second->node);
-  }
-  std::map<std::string, RegionForecast> regions;
-  std::map<std::string, u32> before;
-  std::map<std::pair<std::string, std::string>, KindRate> rates;
-  for (ProxySnapshot const& s : c.sites) {
-    RegionForecast& r = regions[s.region];
-    r.region = s.region;
-    r.now += s.load;
-    before[s.region] += s.ready ? 1 : 0;
-    if (auto const it = b.kinds.find(s.front); it != b.kinds.end())
-      for (auto const& [kind, x] : it->second)
-        rates[{s.region, kind}].now += x;
-    if (out.count(s.front) > 0) continue;
-    r.nodes += s.ready ? 1 : 0;
-    r.load += load[s.front];
-    if (s.ready) r.peak = std::max(r.peak, load[s.front]);
-    for (auto const& [kind, x] : kinds[s.front])
-      rates[{s.region, kind}].after += x;
-  }
-  for (auto& [g, r] : regions) {
-    r.now /= std::max(1u, before[g]);
-    r.load /= std::max(1u, r.nodes);
-    w.regions.push_back(r);
+double rate_to_carry(KindRate const& kind) {
+  return std::max(kind.now, kind.after);
+}
+
+CapacityShortfall make_shortfall(RegionForecast const& region, std::string const& kind, double rate, double headroom) {
+  CapacityShortfall shortfall;
+  shortfall.region = region.region;
+  shortfall.kind = kind;
+  shortfall.rate = rate;
+  shortfall.load = region.load;
+  shortfall.wanted = 1 - headroom;
+  return shortfall;
+}
+
+/// Which kinds of requests find no capacity in a region once those that matter more have theirs.
+std::vector<CapacityShortfall> region_shortfalls(DrainWave const& wave, RegionForecast const& region, double headroom,
+                                                 std::map<std::string, u32>& ranks) {
+  std::vector<KindRate const*> kinds;
+  double total = 0;
+  for (KindRate const& kind : wave.kinds) {
+    if (kind.region != region.region) continue;
+    kinds.push_back(&kind);
+    total += rate_to_carry(kind);
   }
-  for (auto& [k, r] : rates) {
-    r.region = k.first;
-    r.kind = k.second;
-    w.kinds.push_back(r);
+  std::sort(kinds.begin(), kinds.end(),
+            [&](KindRate const* a, KindRate const* b) { return ranks[a->kind] < ranks[b->kind]; });
+  double const bearable = region.nodes == 0 || region.load <= 0 ? 0 : total * (1 - headroom) / region.load;
+  std::vector<CapacityShortfall> shortfalls;
+  double taken = 0;
+  for (KindRate const* kind : kinds) {
+    double const rate = rate_to_carry(*kind);
+    double const excess = std::min(rate, taken + rate - bearable);
+    taken += rate;
+    if (excess > kNegligibleRate) shortfalls.push_back(make_shortfall(region, kind->kind, excess, headroom));
   }
-  return w;
+  if (shortfalls.empty()) shortfalls.push_back(make_shortfall(region, "all", 0, headroom));
+  return shortfalls;
 }
 
-namespace {
-bool fits(DrainWave const& w, double headroom, std::set<std::string> const& touched) {
-  return std::all_of(w.regions.begin(), w.regions.end(), [&](RegionForecast const& r) {
-    if (touched.count(r.region) == 0 && r.load <= r.now + 0.02) return true;  // not this wave's doing
-    return r.nodes > 0 && r.load <= 1 - headroom && r.peak <= std::max(1.0, 1 - headroom / 2);
-  });
+std::vector<CapacityShortfall> wave_shortfalls(FleetSnapshot const& fleet, DrainWave const& wave, double headroom,
+                                               Regions const& touched) {
+  std::map<std::string, u32> ranks = rank_by_kind(fleet);
+  std::vector<CapacityShortfall> shortfalls;
+  for (RegionForecast const& region : wave.regions) {
+    bool const keeps_headroom = region.nodes > 0 && region.load <= 1 - headroom;
+    if (touched.count(region.region) == 0 || keeps_headroom) continue;
+    for (CapacityShortfall& shortfall : region_shortfalls(wave, region, headroom, ranks))
+      shortfalls.push_back(std::move(shortfall));
+  }
+  return shortfalls;
 }
 
-// Which kinds find no place once the more important ones have theirs.
-void lacks_of(FleetSnapshot const& c, DrainWave const& w, double headroom, std::set<std::string> const& touched,
-              std::vector<CapacityShortfall>& out) {
-  std::map<std::string, u32> rank;
-  for (RouteSnapshot const& l : c.routes) {
-    auto const [it, fresh] = rank.try_emplace(l.kind, l.rank);
-    if (!fresh) it->second = std::min(it->second, l.rank);
+/// Plans wave after wave until all proxies have their place or one wave does not fit.
+class WavePlanner {
+ public:
+  WavePlanner(FleetSnapshot const& fleet, double headroom) : fleet_(fleet), headroom_(headroom) {}
+
+  void plan(std::vector<std::string> const& fronts, DrainWavePlan& plan) {
+    sort_by_region(fronts);
+    plan.fits = true;
+    for (bool is_first = true; is_first || has_remaining(); is_first = false) {
+      if (!plan_wave(is_first, plan)) return;
+      for (auto& [region, proxies] : remaining_)
+        proxies.erase(proxies.begin(), proxies.begin() + static_cast<long>(take_[region]));
+    }
   }
-  for (RegionForecast const& r : w.regions) {
-    if (touched.count(r.region) == 0 || (r.nodes > 0 && r.load <= 1 - headroom)) continue;
-    std::vector<KindRate const*> kinds;
-    double sum = 0;
-    for (KindRate const& k : w.kinds)
-      if (k.region == r.region) {
-        kinds.push_back(&k);
-        sum += std::max(k.now, k.after);
-      }
-    std::sort(kinds.begin(), kinds.end(),
-              [&](KindRate const* a, KindRate const* b) { return rank[a->kind] < rank[b->kind]; });
-    double const bears = r.nodes == 0 || r.load <= 0 ? 0 : sum * (1 - headroom) / r.load;
-    double taken = 0;
-    bool any = false;
-    for (KindRate const* k : kinds) {
-      double const x = std::max(k->now, k->after);
-      double const over = std::min(x, taken + x - bears);
-      taken += x;
-      if (over <= 1e-9) continue;
-      CapacityShortfall l;
-      l.region = r.region;
-      l.kind = k->kind;
-      l.rate = over;
-      l.load = r.load;
-      l.wanted = 1 - headroom;
-      out.push_back(std::move(l));
-      any = true;
+
+ private:
+  void sort_by_region(std::vector<std::string> const& fronts) {
+    std::map<std::string, ProxySnapshot const*> by_front;
+    for (ProxySnapshot const& proxy : fleet_.sites)
+      by_front[proxy.front] = &proxy;
+    for (std::string const& front : fronts) {
+      auto const it = by_front.find(front);
+      if (it == by_front.end() || !it->second->ready)
+        not_ready_.insert(front);
+      else
+        remaining_[it->second->region].push_back(it->second);
     }
-    if (any) continue;
-    CapacityShortfall l;
-    l.region = r.region;
-    l.kind = "all";
-    l.load = r.load;
-    l.wanted = 1 - headroom;
-    out.push_back(std::move(l));
+    for (auto& [region, proxies] : remaining_)
+      std::sort(proxies.begin(), proxies.end(),
+                [](ProxySnapshot const* a, ProxySnapshot const* b) { return a->load < b->load; });
   }
-}
-}  // namespace
 
-DrainWavePlan plan_waves(FleetSnapshot const& c, std::vector<std::string> const& fronts, double headroom) {
-  DrainWavePlan p;
-  p.takenAt = c.takenAt;
-  p.headroom = headroom;
-  p.silent = c.silent;
-  p.partial = !c.silent.empty() || !c.settled;
-  p.fits = true;
-  Before const b(c);
-  std::map<std::string, std::vector<ProxySnapshot const*>> todo;  // by region, the least busy first
-  std::set<std::string> dark;
-  for (std::string const& f : fronts) {
-    auto const it = b.sites.find(f);
-    if (it == b.sites.end() || !it->second->ready)
-      dark.insert(f);
-    else
-      todo[it->second->region].push_back(it->second);
+  bool has_remaining() const {
+    return std::any_of(remaining_.begin(), remaining_.end(), [](auto const& item) { return !item.second.empty(); });
   }
-  for (auto& [g, v] : todo)
-    std::sort(v.begin(), v.end(), [](ProxySnapshot const* x, ProxySnapshot const* y) { return x->load < y->load; });
-  bool first = true;
-  while (first || std::any_of(todo.begin(), todo.end(), [](auto const& x) { return !x.second.empty(); })) {
-    std::map<std::string, std::size_t> take;
-    for (auto const& [g, v] : todo) {
-      // A first guess from the region's sum; the play below has the last word.
-      double sum = 0;
-      std::size_t n = 0;
-      for (ProxySnapshot const& s : c.sites)
-        if (s.region == g && s.ready) {
-          sum += s.load;
-          ++n;
-        }
-      auto const needed = static_cast<std::size_t>(std::ceil(sum / std::max(0.01, 1 - headroom)));
-      // Half of a region stays whatever the load: it has to bear a loss in the pass, too.
-      take[g] = std::min({v.size(), n - std::min(n, std::max<std::size_t>(1, needed)), n / 2});
-      if (take[g] == 0 && !v.empty()) take[g] = 1;
-    }
-    std::set<std::string> out, touched;
-    DrainWave w;
+
+  /// Tries smaller and smaller waves until one fits, or even one proxy a region is too much. Returns false then.
+  bool plan_wave(bool is_first, DrainWavePlan& plan) {
+    for (auto const& [region, proxies] : remaining_)
+      take_[region] = first_guess(region, proxies.size());
     while (true) {
-      out = first ? dark : std::set<std::string>();
-      touched.clear();
-      bool least = true;
-      for (auto const& [g, v] : todo) {
-        for (std::size_t i = 0; i < take[g]; ++i)
-          out.insert(v[i]->front);
-        if (take[g] > 0) touched.insert(g);
-        least = least && take[g] <= 1;
+      Fronts const leaving = leaving_now(is_first);
+      Regions const touched = touched_regions();
+      DrainWave wave = predict_client_shift(fleet_, leaving);
+      if (fits(wave, headroom_, touched)) {
+        if (!leaving.empty()) plan.waves.push_back(std::move(wave));
+        return true;
       }
-      w = moved(c, out);
-      if (fits(w, headroom, touched)) break;
-      if (least) {
-        lacks_of(c, w, headroom, touched, p.lacks);
-        p.fits = false;
-        break;
+      bool const is_smallest =
+          std::all_of(take_.begin(), take_.end(), [](auto const& item) { return item.second <= 1; });
+      if (is_smallest) {
+        plan.lacks = wave_shortfalls(fleet_, wave, headroom_, touched);
+        plan.fits = false;
+        return false;
       }
-      for (auto& [g, n] : take)
-        if (n > 1) n = std::min(n - 1, static_cast<std::size_t>(static_cast<double>(n) * 0.8));
+      shrink();
+    }
+  }
+
+  /// How many proxies of a region may leave at once, judged by the sum of its loads; predict_client_shift has the last
+  /// word.
+  std::size_t first_guess(std::string const& region, std::size_t waiting) const {
+    double load = 0;
+    std::size_t ready = 0;
+    for (ProxySnapshot const& proxy : fleet_.sites) {
+      if (proxy.region != region || !proxy.ready) continue;
+      load += proxy.load;
+      ++ready;
     }
-    if (!p.fits) break;
-    if (!out.empty()) p.waves.push_back(std::move(w));
-    for (auto& [g, v] : todo)
-      v.erase(v.begin(), v.begin() + static_cast<long>(take[g]));
-    first = false;
+    auto const needed = static_cast<std::size_t>(std::ceil(load / std::max(kMinLoadLimit, 1 - headroom_)));
+    std::size_t const dispensable = ready - std::min(ready, std::max<std::size_t>(1, needed));
+    // Half of a region stays whatever the load: it has to bear a loss during the drain as well.
+    std::size_t const guess = std::min({waiting, dispensable, ready / 2});
+    return guess == 0 && waiting > 0 ? 1 : guess;
   }
-  return p;
+
+  Fronts leaving_now(bool is_first) const {
+    Fronts leaving = is_first ? not_ready_ : Fronts();
+    for (auto const& [region, proxies] : remaining_)
+      for (std::size_t i = 0; i < take_.at(region); ++i)
+        leaving.insert(proxies[i]->front);
+    return leaving;
+  }
+
+  Regions touched_regions() const {
+    Regions touched;
+    for (auto const& [region, count] : take_)
+      if (count > 0) touched.insert(region);
+    return touched;
+  }
+
+  void shrink() {
+    for (auto& [region, count] : take_)
+      if (count > 1) count = std::min(count - 1, static_cast<std::size_t>(static_cast<double>(count) * kShrinkFactor));
+  }
+
+  FleetSnapshot const& fleet_;
+  double headroom_;
+  Fronts not_ready_;                                                    // leave with the first wave
+  std::map<std::string, std::vector<ProxySnapshot const*>> remaining_;  // by region, the least loaded first
+  std::map<std::string, std::size_t> take_;  // how many of each region are in the wave being planned
+};
+}  // namespace
+
+DrainWavePlan plan_drain_waves(FleetSnapshot const& fleet, std::vector<std::string> const& fronts, double headroom) {
+  DrainWavePlan plan;
+  plan.takenAt = fleet.takenAt;
+  plan.headroom = headroom;
+  plan.silent = fleet.silent;
+  plan.partial = !fleet.is_complete();
+  WavePlanner(fleet, headroom).plan(fronts, plan);
+  return plan;
 }
 
 }  // namespace dockbend
--- a/packages/planning/include/planning/drain_waves.hpp
+++ b/packages/planning/include/planning/drain_waves.hpp
@@ -1,37 +1,28 @@
-// Where clients move when proxies are drained, and in which waves that can be borne: the
-// directory's own selector, played on a capture. No I/O.
+/// Divides proxies that are to be drained into waves that the others can bear. No I/O.
 #pragma once
-#include <map>
-#include <set>
+#include <string>
+#include <vector>
 
-#include "planning/forecast.hpp"
+#include "planning/client_shift.hpp"
 
 namespace dockbend {
 
-struct KindRate {  // requests a second that clients bring to a region's proxies
-  DB_RECORD(KindRate, (std::string, region), (std::string, kind), (double, now), (double, after));
-};
-struct RegionForecast {  // load: mean over the nodes that serve; peak: of the busiest of them
-  DB_RECORD(RegionForecast, (std::string, region), (u32, nodes), (double, now), (double, load), (double, peak));
-};
-struct DrainWave {
-  DB_RECORD(DrainWave, (std::vector<std::string>, fronts), (std::vector<std::string>, nodes),
-            (std::vector<RegionForecast>, regions), (std::vector<KindRate>, kinds));
-};
-struct CapacityShortfall {  // what a region's other nodes could not carry
+/// Requests that a region's other proxies (or a service's other servers) could not carry. `kind`: of the requests, or
+/// "all", or the service's name; `rate`: how many a second; `load`: what the load would be; `wanted`: what it may be.
+struct CapacityShortfall {
   DB_RECORD(CapacityShortfall, (std::string, region), (std::string, kind), (double, rate), (double, load),
             (double, wanted));
 };
+
+/// The plan. `silent`, `partial`: the snapshot was not complete; `lacks`: why a wave does not fit; `fits`: all do.
 struct DrainWavePlan {
   DB_RECORD(DrainWavePlan, (double, takenAt), (double, headroom), (std::vector<std::string>, silent), (bool, partial),
             (std::vector<DrainWave>, waves), (std::vector<CapacityShortfall>, lacks), (bool, fits));
 };
 
-// The state of things with `out` not named by the directory any more, once clients followed.
-DrainWave moved(FleetSnapshot const& c, std::set<std::string> const& out);
-
-// Waves of the nodes named (front addresses), each as large as the headroom allows. A node
-// that is not in the capture, or dark, counts as nothing and goes into the first wave.
-DrainWavePlan plan_waves(FleetSnapshot const& c, std::vector<std::string> const& fronts, double headroom);
+/// Waves of the proxies `fronts` (front addresses), each as large as `headroom` allows (share of each region's
+/// capacity that must stay unused, 0 to below 1). A proxy that is not in the snapshot or not ready carries nothing and
+/// goes into the first wave. Planning ends at the first wave that does not fit.
+DrainWavePlan plan_drain_waves(FleetSnapshot const& fleet, std::vector<std::string> const& fronts, double headroom);
 
 }  // namespace dockbend
--- a/packages/planning/include/planning/forecast.hpp
+++ b/packages/planning/include/planning/forecast.hpp
@@ -1,77 +1,58 @@
-// Who takes over when zones go out of service: the proxies' own choice, played on a
-// captured table of servers with the rates and speeds that the proxies saw. No I/O.
+/// Who takes over when zones or servers go out of service: the proxies' own load balancing, simulated on a snapshot
+/// of the fleet with the rates and latencies that the proxies measured. No I/O.
 #pragma once
 #include <set>
+#include <string>
+#include <vector>
 
-#include "load_balancing/load_balancer.hpp"
-#include "planning/traffic_survey.hpp"
+#include "planning/fleet_snapshot.hpp"
+#include "planning/forecast_options.hpp"
 
 namespace dockbend {
 
-struct ZoneSnapshot {
-  DB_RECORD(ZoneSnapshot, (std::string, zone), (std::string, region), (u32, proxies), (bool, evacuated));
-};
-struct ServerSnapshot {
-  DB_RECORD(ServerSnapshot, (std::string, id), (std::string, service), (std::string, zone), (double, capacity),
-            (bool, ready), (double, coldLeftS), (std::string, generation));
-};
-struct ServiceSnapshot {
-  DB_RECORD(ServiceSnapshot, (std::string, name), (u32, connLimit), (double, coldRateS));
-};
-struct RouteSnapshot {
-  DB_RECORD(RouteSnapshot, (std::string, name), (std::string, kind), (u32, rank), (double, setpointS),
-            (std::vector<std::string>, homes));
-};
-struct ProxySnapshot {  // a proxy as the directory has it
-  DB_RECORD(ProxySnapshot, (std::string, front), (std::string, node), (std::string, zone), (std::string, region),
-            (bool, ready), (double, load));
-};
-// One look at the whole. silent: proxies that were known and did not answer.
-struct FleetSnapshot {
-  DB_RECORD(FleetSnapshot, (double, takenAt), (std::string, node), (bool, settled), (double, beatPeriodS),
-            (std::vector<ZoneSnapshot>, zones), (std::vector<ServerSnapshot>, servers),
-            (std::vector<ServiceSnapshot>, pools), (std::vector<RouteSnapshot>, routes, lanes),
-            (std::vector<TrafficSurvey>, surveys), (std::vector<std::string>, silent),
-            (std::vector<ProxySnapshot>, sites));
-};
-
-struct RouteFlow {  // tries a second that reach servers of a zone
+/// Attempts a second that reach the servers of a zone for one route: measured, and predicted.
+struct RouteFlow {
   DB_RECORD(RouteFlow, (std::string, zone), (std::string, route, lane), (std::string, kind), (double, now),
             (double, after));
 };
-struct ZoneUtilization {  // slots of one service in one zone
+
+/// Slots of one service in one zone: how many there are, and how many are in use before and after.
+struct ZoneUtilization {
   DB_RECORD(ZoneUtilization, (std::string, zone), (std::string, service), (u32, servers), (double, slots),
             (double, usedNow), (double, usedAfter), (bool, overloaded));
 };
-struct UnservedRate {  // errands a second that nobody could take
+
+/// Requests a second that no server takes. `homeless`: no server that may serve them is left; otherwise those that
+/// are left have no capacity for them.
+struct UnservedRate {
   DB_RECORD(UnservedRate, (std::string, route, lane), (std::string, kind), (double, rate), (bool, homeless));
 };
+
+/// The result. `gone`: the zones; `partial`: the snapshot was not complete; `fits`: nothing is overloaded and nothing
+/// goes unserved that is served now.
 struct EvacuationForecast {
   DB_RECORD(EvacuationForecast, (double, takenAt), (std::vector<std::string>, gone), (u32, proxiesHeard),
             (std::vector<std::string>, silent), (bool, partial), (std::vector<RouteFlow>, flows),
             (std::vector<ZoneUtilization>, loads), (std::vector<UnservedRate>, unserved), (bool, fits));
 };
 
-struct ForecastOptions {
-  double seconds = 20, warm = 6;     // simulated time that counts, and before it
-  std::size_t most_errands = 60000;  // fewer seconds are played if they would be more
-  double overload = 0.85;            // share of slots in use
-  double lost = 0.01;                // share of a lane's errands that may find nobody
-  u64 seed = 1;
-};
-
-// gone: zones whose servers get nothing more; out: single servers, by id.
-EvacuationForecast forecast(FleetSnapshot const& c, std::set<std::string> const& gone, ForecastOptions const& p,
-                            std::set<std::string> const& out = {});
-
-// What the sites receive by a capture: tries a second by zone and lane.
-std::map<std::pair<std::string, std::string>, double> received(FleetSnapshot const& c);
+/// What happens if the servers of `gone_zones` and the single servers `gone_servers` (ids) get nothing more.
+EvacuationForecast forecast_evacuation(FleetSnapshot const& fleet, std::set<std::string> const& gone_zones,
+                                       ForecastOptions const& options, std::set<std::string> const& gone_servers = {});
 
+/// Attempts a second to one zone for one route: predicted, and received later.
 struct ForecastDifference {
   DB_RECORD(ForecastDifference, (std::string, zone), (std::string, route, lane), (double, predicted),
             (double, received), (double, difference));
 };
-// The sum of all differences as a share of all that was predicted.
-double compare(EvacuationForecast const& f, FleetSnapshot const& c, std::vector<ForecastDifference>& out);
+
+/// A forecast against what came of it. `deviation`: the sum of all differences as a share of all that was predicted.
+struct ForecastComparison {
+  double deviation = 0;
+  std::vector<ForecastDifference> differences;
+};
+
+/// Compares a forecast with a snapshot taken after the evacuation.
+ForecastComparison compare_forecast(EvacuationForecast const& forecast, FleetSnapshot const& later);
 
 }  // namespace dockbend
--- a/packages/planning/include/planning/traffic_survey.hpp
+++ b/packages/planning/include/planning/traffic_survey.hpp
@@ -1,37 +1,44 @@
-// What proxies see of the traffic, told when somebody asks. No I/O.
+/// What proxies report of their traffic when they are asked: the messages of a traffic survey.
 #pragma once
-#include <array>
-#include <map>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "base/record.hpp"
-#include "drain/server_drain.hpp"
+#include "base/types.hpp"
+#include "drain/open_work.hpp"
 #include "wire/codec.hpp"
 
 namespace dockbend {
 
+/// Asks a proxy for a survey. `held`: only what it has open at `servers` is wanted.
 struct SurveyRequest {
-  // held: only what is open at these servers is wanted, and nothing else.
   DB_RECORD(SurveyRequest, (u64, id), (bool, held), (std::vector<std::string>, servers));
 };
-// Errands a second that came in for a lane, by the service they drew and the homes that
-// bind them (their lane's and their partner's; none: any region).
+
+/// Requests a second that arrived for a route, by the service they were sent to and the home regions that bind them
+/// (of their route and their tenant; empty: any region). `bulky`: share of them with a large body, 0..1.
 struct RouteRate {
   DB_RECORD(RouteRate, (std::string, route, lane), (std::string, pool), (double, rate), (double, bulky),
             (std::vector<std::string>, homes));
 };
-struct ZoneSendRate {  // tries a second that went to servers of a zone
+
+/// Attempts a second that were sent to servers of a zone.
+struct ZoneSendRate {
   DB_RECORD(ZoneSendRate, (std::string, route, lane), (std::string, zone), (double, rate));
 };
+
+/// How fast a server answers this proxy: smoothed latency and mean deviation from it, in seconds. `told`: `dev` is
+/// stated, and may be 0.
 struct ServerLatency {
-  // told: dev is said, and may be 0.
   DB_RECORD(ServerLatency, (std::string, id), (double, lat), (double, dev), (bool, told));
 };
-struct DiscardCount {  // by a fence, since the proxy began
+
+/// How often the proxy discarded something because of a fencing token, since it began; by cause.
+struct DiscardCount {
   DB_RECORD(DiscardCount, (std::string, cause), (u64, n));
 };
+
+/// One proxy's answer. `span`: seconds that the rates cover.
 struct TrafficSurvey {
   DB_RECORD(TrafficSurvey, (u64, id), (std::string, front), (std::string, zone), (std::string, region), (double, span),
             (std::vector<RouteRate>, routes, lanes), (std::vector<ZoneSendRate>, sent),
@@ -39,40 +46,4 @@
             (std::vector<DiscardCount>, dropped));
 };
 
-// Rates over the last whole seconds. Invariant: a rate counts each errand once, in
-// the second in which it came; what is older than the span counts no more.
-class TrafficObserver {
- public:
-  static constexpr std::size_t seconds = 10;
-  void errand(std::string const& route, std::string const& pool, std::vector<std::string> const& homes, bool bulky,
-              Seconds now);
-  void sent(std::string const& route, std::string const& zone, Seconds now);
-  void fill(TrafficSurvey& s, Seconds now) const;
-
- private:
-  struct Ring {
-    std::array<double, seconds + 1> n{};
-    std::array<u64, seconds + 1> at{};
-    void add(u64 sec) {
-      std::size_t const i = sec % n.size();
-      if (at[i] != sec) {
-        at[i] = sec;
-        n[i] = 0;
-      }
-      n[i] += 1;
-    }
-    double sum(u64 sec, std::size_t span) const {
-      double s = 0;
-      for (std::size_t i = 0; i < n.size(); ++i)
-        if (at[i] < sec && at[i] + span >= sec) s += n[i];
-      return s;
-    }
-  };
-  using Key = std::pair<std::string, std::string>;
-  Seconds first_ = -1;
-  using CameKey = std::tuple<std::string, std::string, std::vector<std::string>>;
-  std::map<CameKey, std::pair<Ring, Ring>> came_;  // (lane, pool, homes): all, bulky ones
-  std::map<Key, Ring> went_;                       // (lane, zone)
-};
-
 }  // namespace dockbend
--- a/packages/server_registry/digest_mismatch_detector.cpp
+++ b/packages/server_registry/digest_mismatch_detector.cpp
@@ -6,7 +6,7 @@
 int constexpr kDifferingReports = 8;  // or they differed in this many
 }  // namespace
 
-bool DigestMismatchDetector::hear(u64 own, u64 theirs) {
+bool DigestMismatchDetector::observe(u64 own, u64 theirs) {
   if (own == theirs) {
     differing_reports_ = unchanged_reports_ = 0;
     return false;
--- a/packages/server_registry/include/server_registry/digest_mismatch_detector.hpp
+++ b/packages/server_registry/include/server_registry/digest_mismatch_detector.hpp
@@ -10,7 +10,7 @@
  public:
   /// Takes note of both digests as of one report. Returns true if the complete list should be fetched now; counting
   /// then begins anew.
-  bool hear(u64 own, u64 theirs);
+  bool observe(u64 own, u64 theirs);
   void reset() { *this = DigestMismatchDetector(); }
 
  private:
--- a/packages/server_registry/include/server_registry/server_registry.hpp
+++ b/packages/server_registry/include/server_registry/server_registry.hpp
@@ -21,38 +21,38 @@
  public:
   /// What is kept of one server.
   struct Entry {
-    ServerRecord row;
-    Seconds cold_until = 0;  // it is warming up until then
-    Seconds changed = 0;     // when this process last learned something new about it
-    Seconds beat = 0;        // when this process last received its heartbeat; used by its owner only
+    ServerRecord record;
+    Seconds warming_until = 0;  // it is warming up until then
+    Seconds changed_at = 0;     // when this process last learned something new about it
+    Seconds heartbeat_at = 0;   // when this process last received its heartbeat; used by its owner only
   };
 
   /// Takes a record from this process' own disk after a start; the server's time-out begins now.
-  void load(ServerRecord const& record, Seconds now);
+  void restore(ServerRecord const& record, Seconds now);
   /// Takes a record that another process passed on. Returns true if it says something that others should hear of.
-  bool join(ServerRecord const& record, Seconds now);
+  bool merge_record(ServerRecord const& record, Seconds now);
   /// Takes a heartbeat that `self`, this process, received from the server and so becomes its owner. Returns true
   /// if it says something that others should hear of.
-  bool beat(ServerRecord record, std::string const& self, Seconds now);
+  bool record_heartbeat(ServerRecord record, std::string const& self, Seconds now);
 
   /// Marks those servers of owner `self` as gone that have sent no heartbeat for `timeout` seconds; returns them.
-  std::vector<ServerRecord> expire(std::string const& self, Seconds timeout, Seconds now);
+  std::vector<ServerRecord> mark_silent_gone(std::string const& self, Seconds timeout, Seconds now);
   /// Marks all servers of an owner that is lost as gone; returns them.
-  std::vector<ServerRecord> expire_of(std::string const& owner, Seconds now);
+  std::vector<ServerRecord> mark_gone_of_owner(std::string const& owner, Seconds now);
   /// Marks as gone what a complete list of servers lacks and this process has known unchanged for `min_age` seconds;
   /// returns the ids.
-  std::vector<std::string> drop_absent(std::vector<ServerRecord> const& complete, Seconds min_age, Seconds now);
+  std::vector<std::string> mark_absent_gone(std::vector<ServerRecord> const& complete, Seconds min_age, Seconds now);
   /// Starts all time-outs anew: after this process itself was stalled, no server is late.
-  void forgive(Seconds now);
+  void restart_timeouts(Seconds now);
   /// Forgets servers that have been gone for longer than `age` seconds.
-  void purge(Seconds age, Seconds now);
+  void forget_gone(Seconds age, Seconds now);
 
   /// All records, those of servers that are gone included, with the warm-up times that are left at `now`.
-  std::vector<ServerRecord> all(Seconds now) const;
+  std::vector<ServerRecord> records(Seconds now) const;
   /// Those that changed at `since` or later.
   std::vector<ServerRecord> changed_since(Seconds since, Seconds now) const;
   /// The record of one server; nothing if the id is unknown.
-  std::optional<ServerRecord> get(std::string const& id, Seconds now) const;
+  std::optional<ServerRecord> find(std::string const& id, Seconds now) const;
   /// A number that differs if two registries hold different servers, apart from those that are gone.
   u64 digest() const { return digest_; }
   std::unordered_map<std::string, Entry> const& entries() const { return entries_; }
--- a/packages/server_registry/server_registry.cpp
+++ b/packages/server_registry/server_registry.cpp
@@ -16,101 +16,102 @@
 }
 
 ServerRecord ServerRegistry::record_at(Entry const& entry, Seconds now) {
-  ServerRecord record = entry.row;
-  record.cold_left = std::max(0.0, entry.cold_until - now);
+  ServerRecord record = entry.record;
+  record.cold_left = std::max(0.0, entry.warming_until - now);
   return record;
 }
 
 void ServerRegistry::replace(Entry& entry, ServerRecord const& record, Seconds now) {
-  bool const is_new_entry = entry.row.id.empty();
-  if (!is_new_entry && entry.row.state != ServerState::gone) digest_ -= hash_of(entry.row);
-  entry.row = record;
-  entry.cold_until = now + record.cold_left;
-  entry.changed = now;
+  bool const is_new_entry = entry.record.id.empty();
+  if (!is_new_entry && entry.record.state != ServerState::gone) digest_ -= hash_of(entry.record);
+  entry.record = record;
+  entry.warming_until = now + record.cold_left;
+  entry.changed_at = now;
   if (record.state != ServerState::gone) digest_ += hash_of(record);
 }
 
 ServerRecord const& ServerRegistry::mark_gone(Entry& entry, Seconds now) {
-  ServerRecord record = entry.row;
+  ServerRecord record = entry.record;
   record.state = ServerState::gone;
   replace(entry, record, now);
-  return entry.row;
+  return entry.record;
 }
 
-void ServerRegistry::load(ServerRecord const& record, Seconds now) {
+void ServerRegistry::restore(ServerRecord const& record, Seconds now) {
   Entry& entry = entries_[record.id];
   replace(entry, record, now);
-  entry.beat = now;
+  entry.heartbeat_at = now;
 }
 
-bool ServerRegistry::join(ServerRecord const& record, Seconds now) {
+bool ServerRegistry::merge_record(ServerRecord const& record, Seconds now) {
   auto const [it, is_new_id] = entries_.try_emplace(record.id);
   Entry& entry = it->second;
   if (is_new_id) {
     replace(entry, record, now);
     return true;
   }
-  ServerRecord const& known = entry.row;
+  ServerRecord const& known = entry.record;
   if (record.seq < known.seq) return false;
   if (record.seq == known.seq && record.state <= known.state) return false;
-  Seconds const warm_up_change = std::abs(now + record.cold_left - std::max(entry.cold_until, now));
+  Seconds const warm_up_change = std::abs(now + record.cold_left - std::max(entry.warming_until, now));
   bool const is_news = record.state != known.state || record.owner != known.owner || record.address != known.address ||
                        warm_up_change > kWarmUpTolerance;
   replace(entry, record, now);
   return is_news;
 }
 
-bool ServerRegistry::beat(ServerRecord record, std::string const& self, Seconds now) {
+bool ServerRegistry::record_heartbeat(ServerRecord record, std::string const& self, Seconds now) {
   record.owner = self;
-  bool const is_news = join(record, now);
+  bool const is_news = merge_record(record, now);
   auto const it = entries_.find(record.id);
-  if (it != entries_.end() && it->second.row.owner == self) it->second.beat = now;
+  if (it != entries_.end() && it->second.record.owner == self) it->second.heartbeat_at = now;
   return is_news;
 }
 
-std::vector<ServerRecord> ServerRegistry::expire(std::string const& self, Seconds timeout, Seconds now) {
+std::vector<ServerRecord> ServerRegistry::mark_silent_gone(std::string const& self, Seconds timeout, Seconds now) {
   std::vector<ServerRecord> marked;
   for (auto& [id, entry] : entries_) {
-    if (entry.row.owner != self || entry.row.state == ServerState::gone || now - entry.beat < timeout) continue;
+    if (entry.record.owner != self || entry.record.state == ServerState::gone || now - entry.heartbeat_at < timeout)
+      continue;
     marked.push_back(mark_gone(entry, now));
   }
   return marked;
 }
 
-std::vector<ServerRecord> ServerRegistry::expire_of(std::string const& owner, Seconds now) {
+std::vector<ServerRecord> ServerRegistry::mark_gone_of_owner(std::string const& owner, Seconds now) {
   std::vector<ServerRecord> marked;
   for (auto& [id, entry] : entries_)
-    if (entry.row.owner == owner && entry.row.state != ServerState::gone) marked.push_back(mark_gone(entry, now));
+    if (entry.record.owner == owner && entry.record.state != ServerState::gone) marked.push_back(mark_gone(entry, now));
   return marked;
 }
 
-std::vector<std::string> ServerRegistry::drop_absent(std::vector<ServerRecord> const& complete, Seconds min_age,
-                                                     Seconds now) {
+std::vector<std::string> ServerRegistry::mark_absent_gone(std::vector<ServerRecord> const& complete, Seconds min_age,
+                                                          Seconds now) {
   std::unordered_set<std::string> present;
   for (ServerRecord const& record : complete)
     present.insert(record.id);
   std::vector<std::string> marked;
   for (auto& [id, entry] : entries_) {
-    if (present.count(id) > 0 || entry.row.state == ServerState::gone || now - entry.changed < min_age) continue;
+    if (present.count(id) > 0 || entry.record.state == ServerState::gone || now - entry.changed_at < min_age) continue;
     mark_gone(entry, now);
     marked.push_back(id);
   }
   return marked;
 }
 
-void ServerRegistry::forgive(Seconds now) {
+void ServerRegistry::restart_timeouts(Seconds now) {
   for (auto& [id, entry] : entries_)
-    entry.beat = now;
+    entry.heartbeat_at = now;
 }
 
-void ServerRegistry::purge(Seconds age, Seconds now) {
+void ServerRegistry::forget_gone(Seconds age, Seconds now) {
   std::erase_if(entries_, [&](auto const& item) {
     Entry const& entry = item.second;
-    return entry.row.state == ServerState::gone && now - entry.changed > age;
+    return entry.record.state == ServerState::gone && now - entry.changed_at > age;
   });
 }
 
-std::vector<ServerRecord> ServerRegistry::all(Seconds now) const {
+std::vector<ServerRecord> ServerRegistry::records(Seconds now) const {
   std::vector<ServerRecord> records;
   records.reserve(entries_.size());
   for (auto const& [id, entry] : entries_)
@@ -121,11 +122,11 @@
 std::vector<ServerRecord> ServerRegistry::changed_since(Seconds since, Seconds now) const {
   std::vector<ServerRecord> records;
   for (auto const& [id, entry] : entries_)
-    if (entry.changed >= since) records.push_back(record_at(entry, now));
+    if (entry.changed_at >= since) records.push_back(record_at(entry, now));
   return records;
 }
 
-std::optional<ServerRecord> ServerRegistry::get(std::string const& id, Seconds now) const {
+std::optional<ServerRecord> ServerRegistry::find(std::string const& id, Seconds now) const {
   auto const it = entries_.find(id);
   if (it == entries_.end()) return std::nullopt;
   return record_at(it->second, now);
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -202,7 +202,7 @@
           m.pulled = now;
           m.link->send(MessageType::catch_up_request, 0, CatchUpRequest{have_ ? state_.ballot : Ballot()});
         }
-        if (m.feeding && r.in_contact && m.off.hear(roll_.digest(), r.digest))
+        if (m.feeding && r.in_contact && m.off.observe(roll_.digest(), r.digest))
           m.link->send(MessageType::subscribe, 0, SubscribeRequest{true, have_ ? state_.ballot : Ballot()});
         break;
       }
@@ -254,10 +254,10 @@
       take_delta(read_delta(n.delta), from);
     for (ServerRecord const& r : n.rows) {
       u64 const d = roll_.digest();
-      if (roll_.join(r, now) || d != roll_.digest()) rows_dirty_.insert(r.id);
+      if (roll_.merge_record(r, now) || d != roll_.digest()) rows_dirty_.insert(r.id);
     }
     if (n.rows_full)
-      for (std::string& id : roll_.drop_absent(n.rows, 5.0, now))
+      for (std::string& id : roll_.mark_absent_gone(n.rows, 5.0, now))
         rows_dirty_.insert(std::move(id));
   }
 
@@ -329,11 +329,11 @@
     StateUpdate n;
     n.rows_full = rows_all_;
     if (rows_all_) {
-      for (ServerRecord& r : roll_.all(now))
+      for (ServerRecord& r : roll_.records(now))
         if (r.state != ServerState::gone) n.rows.push_back(std::move(r));
     } else {
       for (std::string const& id : rows_dirty_)
-        if (auto r = roll_.get(id, now)) n.rows.push_back(std::move(*r));
+        if (auto r = roll_.find(id, now)) n.rows.push_back(std::move(*r));
     }
     rows_dirty_.clear();
     rows_all_ = false;
@@ -489,7 +489,7 @@
         else
           m.link->ch()->send(MessageType::contact_probe, 0, std::string_view());
       }
-      roll_.purge(90, now);
+      roll_.forget_gone(90, now);
     }
     feeds();
     if (draining_ && ((!proxy_ && now - drain_at_ > 0.5) || now - drain_at_ > st_.bounds.gracePeriodS - 0.2))
--- a/programs/dockbend.cpp
+++ b/programs/dockbend.cpp
@@ -233,7 +233,7 @@
       std::fprintf(stderr, "dockbend: no such zone: %s\n", z.c_str());
       return rc_failed;
     }
-  EvacuationForecast const f = forecast(c, zones, ForecastOptions{});
+  EvacuationForecast const f = forecast_evacuation(c, zones, ForecastOptions{});
   std::string const text = json::render(f);
   if (!o.save.empty()) {
     std::ofstream out(o.save);
@@ -298,21 +298,21 @@
   try {
     u64 const id = random64() >> 16 | 1;
     if (servers) {
-      RotationPlan const p = plan_rotation(c, servers_named(c, names), static_cast<u32>(o.max_unavailable), o.headroom);
+      RotationPlan const p = plan_rotation(c, find_servers(c, names), static_cast<u32>(o.max_unavailable), o.headroom);
       if (o.as_json && !start)
         std::printf("%s\n", json::render(p).c_str());
       else if (!o.as_json)
         print(p);
       fits = p.fits;
-      order = server_order(c, p, id, o.patience, o.replaced);
+      order = make_server_order(c, p, id, o.patience, o.replaced);
     } else {
-      DrainWavePlan const p = plan_waves(c, nodes_named(c, names), o.headroom);
+      DrainWavePlan const p = plan_drain_waves(c, find_proxies(c, names), o.headroom);
       if (o.as_json && !start)
         std::printf("%s\n", json::render(p).c_str());
       else if (!o.as_json)
         print(p);
       fits = p.fits;
-      order = node_order(c, p, id, o.headroom, o.patience);
+      order = make_proxy_order(c, p, id, o.headroom, o.patience);
     }
   } catch (DrainOrderError const& e) {
     std::fprintf(stderr, "dockbend: %s\n", e.what());
@@ -340,8 +340,9 @@
   }
   FleetSnapshot c;
   if (int const rc = survey(o, c)) return rc;
-  std::vector<ForecastDifference> d;
-  double const off = compare(f, c, d);
+  ForecastComparison const comparison = compare_forecast(f, c);
+  std::vector<ForecastDifference> const& d = comparison.differences;
+  double const off = comparison.deviation;
   bool const good = off <= o.tolerance;
   if (o.as_json) {
     struct Out {
--- a/programs/proxy.cpp
+++ b/programs/proxy.cpp
@@ -21,7 +21,7 @@
 #include "idempotency/proxy_messages.hpp"
 #include "load_balancing/load_balancer.hpp"
 #include "logging/log.hpp"
-#include "planning/traffic_survey.hpp"
+#include "planning/traffic_observer.hpp"
 #include "process/program.hpp"
 #include "quota/quota.hpp"
 #include "request/admission.hpp"
@@ -87,7 +87,7 @@
         shelf_(loop, as_),
         page_(loop, Address{"127.0.0.1", st.agent()}, 0.4, 2.0),
         incarnation_(random64() | 1),
-        leaver_(incarnation_),
+        drain_state_(incarnation_),
         counter_(incarnation_),
         borrower_(incarnation_, "") {
     self_ = this;
@@ -338,7 +338,7 @@
     }
     l.load = load_;
     u32 keyed = 0, uploads = 0;
-    if (leaver_.concerned()) {
+    if (drain_state_.is_concerned()) {
       requests_.each([&](ProxiedRequest const& e) {
         keyed += e.route->kind == RouteKind::keyed ? 1 : 0;
         uploads += e.upload ? 1 : 0;
@@ -346,7 +346,7 @@
       // Silent for longer than a client may be idle: its connection ended.
       uploads += readings_.open(static_cast<u64>(10 * man_.limits().idle) + 10);
     }
-    l.drain = leaver_.word(keyed, uploads, now);
+    l.drain = drain_state_.status(keyed, uploads, now);
     page_.send(MessageType::proxy_load, 0, l);
   }
 
@@ -365,12 +365,12 @@
 
   // ---- a drain that an operator wants -----------------------------------------
   void told_to_drain(DrainInstruction const& d) {
-    if (leaver_.told(d, steady_now()))
+    if (drain_state_.on_instruction(d, steady_now()))
       LOG4CPLUS_INFO(logger_, (drains() ? "Drains for maintenance. " : "Drains no more. ")
                                   << requests_.size() << " errands at work.");
     tell_load();
   }
-  bool drains() const { return leaver_.drains(); }
+  bool drains() const { return drain_state_.is_draining(); }
   bool closing() const { return draining_ || drains(); }
   // A SIGTERM counts from its arrival: the loop may handle its event later than a timer.
   bool terminating() const { return draining_ || term_arrived(); }
@@ -428,7 +428,7 @@
     e.timer = event_new(loop_, -1, 0, timer_cb, &e);
     requests_.open(std::move(up));
     as_.budget(e.pool).errand(now);
-    atlas_.errand(e.route->name, as_.pool_name(e.pool), e.homes, e.upload, now);
+    traffic_.on_request(e.route->name, as_.pool_name(e.pool), e.homes, e.upload, now);
     admit_partner(e, now);
   }
 
@@ -495,7 +495,7 @@
   }
 
   void end(ProxiedRequest& e) {
-    if (e.route->kind == RouteKind::keyed) leaver_.answered(steady_now());
+    if (e.route->kind == RouteKind::keyed) drain_state_.on_keyed_answer(steady_now());
     event_del(e.timer);
     requests_.close(e);
   }
@@ -615,7 +615,7 @@
     e.server = s;
     e.core.began(now, std::max(4 * as_.lat_of(e.pool), e.route->latency_target * 0.85), connect_limit(e));
     e.attempted.push_back(s);
-    atlas_.sent(e.route->name, as_.zone_name(t.zone), now);
+    traffic_.on_attempt(e.route->name, as_.zone_name(t.zone), now);
 
     evhttp_request* u = shelf_.request(c);
     evkeyvalq* out = evhttp_request_get_output_headers(u);
@@ -887,7 +887,7 @@
       page_.send(MessageType::survey_response, tag, s);
       return;
     }
-    atlas_.fill(s, now);
+    traffic_.fill(s, now);
     for (u8 i = 0; i < static_cast<u8>(ResponseRejection::count); ++i) {
       ResponseRejection const d = static_cast<ResponseRejection>(i);
       if (requests_.fence().dropped(d) > 0)
@@ -972,7 +972,7 @@
   std::set<std::string> pool_names_, evac_;
   StagedChanges held_;  // rollouts whose change is held here
   u64 incarnation_;
-  ProxyDrainState leaver_;
+  ProxyDrainState drain_state_;
   MedianClock clock_;
   UsageCounter counter_;
   struct Uncounted {
@@ -987,7 +987,7 @@
     u64 ask = 0;  // whose answer it waits for
   };
   std::vector<Parked> parked_;
-  TrafficObserver atlas_;
+  TrafficObserver traffic_;
   std::deque<std::string> held_back_;  // ends of claims, for an agent that is away
   std::size_t held_back_bytes_ = 0;
   static constexpr std::size_t held_back_most = 4 << 20;
--- a/tests/drain/proxy_drain_test.cpp
+++ b/tests/drain/proxy_drain_test.cpp
@@ -114,18 +114,18 @@
       n.front = p.front;
       n.zone = p.zone;
       n.region = p.region;
-      n.ready = n.fresh = p.up(now);
+      n.is_ready = n.is_reachable = p.up(now);
       n.load = p.load;
-      DrainUnit const* x = unit_of(reg, p.front);
+      DrainUnit const* x = find_unit(reg, p.front);
       if (x != nullptr && x->stage != DrainStage::waiting) {
         n.incarnation = p.incarnation;
         n.cordoned_for = p.cordoned_at < 0 ? 0 : now - p.cordoned_at;
-        n.told = p.drains() || p.told == DrainStage::cordoned ? p.told : DrainStage::waiting;
+        n.reported_stage = p.drains() || p.told == DrainStage::cordoned ? p.told : DrainStage::waiting;
       }
-      n.current = true;
+      n.has_current_configuration = true;
       for (Open const& o : p.open) {
-        n.keyed += o.kind == 1 ? 1 : 0;
-        n.uploads += o.kind == 2 ? 1 : 0;
+        n.open_keyed += o.kind == 1 ? 1 : 0;
+        n.open_uploads += o.kind == 2 ? 1 : 0;
       }
       v.push_back(n);
     }
@@ -160,7 +160,7 @@
     std::string const me = "c" + std::to_string(i);
     auto const change = [mv, fence, me](ReplicatedState& s) {
       Lease const* t = s.term("drain");
-      return t != nullptr && t->fence == fence && t->holder == me && apply(s, mv);
+      return t != nullptr && t->fence == fence && t->holder == me && apply_actions(s, mv);
     };
     submit(i, change, [](bool) {});
     if (u(0, 1) < 0.1) submit(i, change, [](bool) {});  // a repeat
@@ -180,7 +180,7 @@
       s.ready = proxies[i].up(now);
       s.load = proxies[i].load;
       ix[s.front] = i;
-      cat.keep(s);
+      cat.record_keepalive(s);
     }
     c.list.clear();
     for (ProxyEntry const* s : cat.resolve(ClientContext{c.zone, c.region}, cordoned))
@@ -235,7 +235,7 @@
       }
       if (now - p.told_at > 0.6) {  // its keepalive's answer
         p.told_at = now;
-        DrainUnit const* x = unit_of(reg, p.front);
+        DrainUnit const* x = find_unit(reg, p.front);
         if (x != nullptr && x->stage == DrainStage::back) x = nullptr;
         p.told = x == nullptr ? DrainStage::waiting : x->stage;
         if (p.told == DrainStage::waiting)
@@ -245,7 +245,7 @@
         p.told_life = x == nullptr ? 0 : x->incarnation;
       }
       // The operator restarts what is empty.
-      DrainUnit const* x = unit_of(reg, p.front);
+      DrainUnit const* x = find_unit(reg, p.front);
       if (x != nullptr && x->stage == DrainStage::empty && x->incarnation == p.incarnation && p.restart_at < 0)
         p.restart_at = now + u(0.3, 2);
       if (p.restart_at >= 0 && now >= p.restart_at) {
@@ -264,8 +264,8 @@
     p.cordoned_at = -1;
   }
   std::map<std::string, RegionCapacity> rooms() const {
-    return room(seen(), [&](ProxyObservation const& n) {
-      DrainUnit const* x = unit_of(reg, n.front);
+    return region_capacities(seen(), [&](ProxyObservation const& n) {
+      DrainUnit const* x = find_unit(reg, n.front);
       return x != nullptr && x->stage != DrainStage::waiting && x->stage != DrainStage::back;
     });
   }
@@ -291,8 +291,7 @@
   return order_of(units);
 }
 void begin_pass(Morning& m) {
-  u64 id = 0;
-  cr_assert(start(m.reg, whole_order(m), id));
+  cr_assert(start_run(m.reg, whole_order(m)).is_new);
 }
 
 }  // namespace
@@ -317,9 +316,9 @@
       if (m.now >= loss) {  // a proxy is lost, with what was open there; the order comes once more
         loss = 1e18;
         m.restart(m.proxies[m.rnd() % m.proxies.size()], m.u(1, 6));
-        u64 id = 0;
-        cr_assert_not(start(m.reg, whole_order(m), id));
-        cr_assert_eq(id, 7);
+        StartedRun const run = start_run(m.reg, whole_order(m));
+        cr_assert_not(run.is_new);
+        cr_assert_eq(run.id, 7);
       }
       if (m.now < blow) continue;
       blow = m.now + m.u(3, 12);
@@ -397,13 +396,13 @@
 
 Test(drain, orders_repeat_overlap_and_end) {
   ReplicatedState s;
-  u64 id = 0;
-  cr_assert(start(s, order_of({{"a", 0}, {"b", 1}}), id));
-  cr_assert_not(start(s, order_of({{"a", 0}, {"b", 1}}), id), "the same call again");
-  cr_assert_not(start(s, order_of({{"b", 0}, {"a", 0}}, "9"), id), "the same order");
-  cr_assert_eq(id, 7);
+  cr_assert(start_run(s, order_of({{"a", 0}, {"b", 1}})).is_new);
+  cr_assert_not(start_run(s, order_of({{"a", 0}, {"b", 1}})).is_new, "the same call again");
+  StartedRun const same = start_run(s, order_of({{"b", 0}, {"a", 0}}, "9"));
+  cr_assert_not(same.is_new, "the same order");
+  cr_assert_eq(same.id, 7);
   try {
-    start(s, order_of({{"b", 0}, {"c", 0}}, "10"), id);
+    start_run(s, order_of({{"b", 0}, {"c", 0}}, "10"));
     cr_assert_fail("it overlaps");
   } catch (DrainOrderError const& e) {
     cr_assert_eq(e.code, 409);
@@ -414,30 +413,29 @@
                                {order_of({{"x", 0}}, "7", 1.0), "headroom: wants a share from 0 to below 1"},
                                {order_of({{"x", 0}}, "z"), "id: wants a number above 0"}}) {
     try {
-      check(o);
+      validate(o);
       cr_assert_fail("%s", why);
     } catch (DrainOrderError const& e) {
       cr_assert_str_eq(e.what(), why);
     }
   }
   DrainActions m;
-  m.moves.push_back(StageTransition{7, "a", DrainStage::waiting, DrainStage::cordoned, 5});
-  cr_assert(command(s, 7, DrainCommand::pause));
-  cr_assert_not(apply(s, m), "nothing is begun in a pause");
-  cr_assert(command(s, 7, DrainCommand::resume));
-  cr_assert(apply(s, m));
-  cr_assert_not(apply(s, m), "a step has its effect once");
-  cr_assert(command(s, 7, DrainCommand::abort));
+  m.transitions.push_back(StageTransition{7, "a", DrainStage::waiting, DrainStage::cordoned, 5});
+  cr_assert(control_run(s, 7, DrainCommand::pause));
+  cr_assert_not(apply_actions(s, m), "nothing is begun in a pause");
+  cr_assert(control_run(s, 7, DrainCommand::resume));
+  cr_assert(apply_actions(s, m));
+  cr_assert_not(apply_actions(s, m), "a step has its effect once");
+  cr_assert(control_run(s, 7, DrainCommand::abort));
   cr_assert(s.units.empty(), "who was out is named again");
-  cr_assert_not(command(s, 7, DrainCommand::abort));
-  cr_assert_not(apply(s, m));
+  cr_assert_not(control_run(s, 7, DrainCommand::abort));
+  cr_assert_not(apply_actions(s, m));
 }
 
 // Who began anew under way is drained in its new life; a word of the old one counts no more.
 Test(drain, emptiness_is_of_the_life_that_is_drained) {
   ReplicatedState s;
-  u64 id = 0;
-  start(s, order_of({{"a", 0}}), id);
+  start_run(s, order_of({{"a", 0}}));
   s.units[0].stage = DrainStage::draining;
   s.units[0].incarnation = 1;
   ProxyDrainPlanner d{ProxyDrainOptions{}};
@@ -445,86 +443,85 @@
   n.front = "a";
   other.front = "b";
   n.region = other.region = "r";
-  n.ready = n.fresh = other.ready = other.fresh = true;
-  n.told = DrainStage::draining;
+  n.is_ready = n.is_reachable = other.is_ready = other.is_reachable = true;
+  n.reported_stage = DrainStage::draining;
   n.incarnation = 2;
   DrainActions m = d.step(s, {n, other}, 10);
-  cr_assert_eq(m.moves.size(), 1u);
-  cr_assert(m.moves[0].to == DrainStage::draining && m.moves[0].incarnation == 2);
-  apply(s, m);
-  n.uploads = 1;
-  cr_assert(d.step(s, {n, other}, 11).moves.empty());
-  n.uploads = 0;
-  cr_assert(d.step(s, {n, other}, 12).moves.empty(), "it has to say so twice");
-  n.fresh = false;
-  cr_assert(d.step(s, {n, other}, 13).moves.empty(), "out of reach it is not known to be empty");
-  n.fresh = true;
-  cr_assert(d.step(s, {n, other}, 14).moves.empty());
+  cr_assert_eq(m.transitions.size(), 1u);
+  cr_assert(m.transitions[0].to == DrainStage::draining && m.transitions[0].incarnation == 2);
+  apply_actions(s, m);
+  n.open_uploads = 1;
+  cr_assert(d.step(s, {n, other}, 11).transitions.empty());
+  n.open_uploads = 0;
+  cr_assert(d.step(s, {n, other}, 12).transitions.empty(), "it has to say so twice");
+  n.is_reachable = false;
+  cr_assert(d.step(s, {n, other}, 13).transitions.empty(), "out of reach it is not known to be empty");
+  n.is_reachable = true;
+  cr_assert(d.step(s, {n, other}, 14).transitions.empty());
   m = d.step(s, {n, other}, 15);
-  cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::empty);
-  apply(s, m);
-  cr_assert(d.step(s, {n, other}, 16).moves.empty(), "the old life is not back");
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::empty);
+  apply_actions(s, m);
+  cr_assert(d.step(s, {n, other}, 16).transitions.empty(), "the old life is not back");
   n.incarnation = 3;
-  n.current = false;
-  cr_assert(d.step(s, {n, other}, 17).moves.empty(), "nor is one that lacks the configuration in force");
-  n.current = true;
+  n.has_current_configuration = false;
+  cr_assert(d.step(s, {n, other}, 17).transitions.empty(), "nor is one that lacks the configuration in force");
+  n.has_current_configuration = true;
   m = d.step(s, {n, other}, 18);
-  cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::back);
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::back);
 }
 
 // Who is dark before its turn holds nobody up, and has its turn once it is seen again; who went
 // dark under way is waited for.
 Test(drain, a_dark_node_holds_up_only_what_it_may_hold) {
   ReplicatedState s;
-  u64 id = 0;
-  start(s, order_of({{"a", 0}, {"b", 1}}), id);
+  start_run(s, order_of({{"a", 0}, {"b", 1}}));
   ProxyDrainPlanner d{ProxyDrainOptions{}};
   std::vector<ProxyObservation> v(4);
   char const* const names[] = {"a", "b", "c", "d"};
   for (std::size_t i = 0; i < 4; ++i) {
     v[i].front = names[i];
     v[i].region = "r";
-    v[i].ready = v[i].fresh = true;
+    v[i].is_ready = v[i].is_reachable = true;
   }
-  v[0].ready = v[0].fresh = false;
+  v[0].is_ready = v[0].is_reachable = false;
   DrainActions m = d.step(s, v, 10);
-  cr_assert(m.moves.size() == 1 && m.moves[0].name == "b");
-  apply(s, m);
-  v[0].ready = v[0].fresh = true;
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "b");
+  apply_actions(s, m);
+  v[0].is_ready = v[0].is_reachable = true;
   m = d.step(s, v, 11);
-  cr_assert(m.moves.size() == 1 && m.moves[0].name == "a", "seen again");
-  apply(s, m);
-  v[0].fresh = false;
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "a", "seen again");
+  apply_actions(s, m);
+  v[0].is_reachable = false;
   v[1].incarnation = 4;
-  v[1].told = DrainStage::cordoned;
+  v[1].reported_stage = DrainStage::cordoned;
   v[1].cordoned_for = 16;
-  cr_assert(d.step(s, v, 30).moves.empty(), "a is under way and comes before b");
+  cr_assert(d.step(s, v, 30).transitions.empty(), "a is under way and comes before b");
 }
 
 // What a proxy says of itself: nothing unasked, nothing of another life, and an answer that may
 // not be on disk yet counts as open.
 Test(drain, a_proxy_drains_in_the_life_that_is_meant) {
   ProxyDrainState l(7);
-  cr_assert_eq(l.word(3, 2, 1).keyed, 0, "unasked it says nothing");
+  cr_assert_eq(l.status(3, 2, 1).keyed, 0, "unasked it says nothing");
   DrainInstruction d;
   d.stage = static_cast<u32>(DrainStage::cordoned);
-  cr_assert_not(l.told(d, 10));
-  cr_assert_eq(l.word(3, 2, 14).stage, static_cast<u32>(DrainStage::cordoned));
-  cr_assert_float_eq(l.word(3, 2, 14).since, 4, 1e-9);
+  cr_assert_not(l.on_instruction(d, 10));
+  cr_assert_eq(l.status(3, 2, 14).stage, static_cast<u32>(DrainStage::cordoned));
+  cr_assert_float_eq(l.status(3, 2, 14).since, 4, 1e-9);
   d.stage = static_cast<u32>(DrainStage::draining);
   d.incarnation = 6;
-  cr_assert_not(l.told(d, 20), "another life is meant");
-  cr_assert_eq(l.word(0, 0, 21).stage, 0, "it does not pass for the one that is meant");
+  cr_assert_not(l.on_instruction(d, 20), "another life is meant");
+  cr_assert_eq(l.status(0, 0, 21).stage, 0, "it does not pass for the one that is meant");
   d.incarnation = 7;
-  cr_assert(l.told(d, 22));
-  l.answered(23);
-  cr_assert_eq(l.word(1, 0, 24).keyed, 2);
-  cr_assert_eq(l.word(0, 0, 24.6).keyed, 0);
-  cr_assert_float_eq(l.word(0, 0, 25).since, 15, 1e-9, "counted from the first word");
-  cr_assert(l.told(DrainInstruction{}, 26), "called off");
+  cr_assert(l.on_instruction(d, 22));
+  l.on_keyed_answer(23);
+  cr_assert_eq(l.status(1, 0, 24).keyed, 2);
+  cr_assert_eq(l.status(0, 0, 24.6).keyed, 0);
+  cr_assert_float_eq(l.status(0, 0, 25).since, 15, 1e-9, "counted from the first word");
+  cr_assert(l.on_instruction(DrainInstruction{}, 26), "called off");
   d.stage = static_cast<u32>(DrainStage::cordoned);
-  l.told(d, 30);
-  cr_assert_float_eq(l.word(0, 0, 31).since, 1, 1e-9, "and counted anew");
+  l.on_instruction(d, 30);
+  cr_assert_float_eq(l.status(0, 0, 31).since, 1, 1e-9, "and counted anew");
 }
 
 namespace {
@@ -570,8 +567,8 @@
 
 Test(drain, waves_keep_the_headroom_and_cover_all) {
   FleetSnapshot const c = halls(8, 0.4);
-  auto const fronts = nodes_named(c, {"north", "south"});
-  DrainWavePlan const p = plan_waves(c, fronts, 0.2);
+  auto const fronts = find_proxies(c, {"north", "south"});
+  DrainWavePlan const p = plan_drain_waves(c, fronts, 0.2);
   cr_assert(p.fits);
   std::set<std::string> all;
   for (DrainWave const& w : p.waves) {
@@ -590,7 +587,7 @@
   }
   cr_assert_eq(all.size(), 24u);
   cr_assert_leq(p.waves.size(), 5u, "%zu waves", p.waves.size());
-  DrainWavePlan const tight = plan_waves(halls(2, 0.75), nodes_named(c, {"s1:0"}), 0.2);
+  DrainWavePlan const tight = plan_drain_waves(halls(2, 0.75), find_proxies(c, {"s1:0"}), 0.2);
   cr_assert_not(tight.fits);
   cr_assert_str_eq(tight.lacks.at(0).region.c_str(), "south");
   cr_assert_str_eq(tight.lacks.at(0).kind.c_str(), "idempotent", "what matters less goes first");
@@ -598,12 +595,12 @@
 
 Test(drain, names_are_found_or_said) {
   FleetSnapshot const c = halls(2, 0.2);
-  cr_assert_eq(nodes_named(c, {"n1", "edge-s1-0"}).size(), 3u);
+  cr_assert_eq(find_proxies(c, {"n1", "edge-s1-0"}).size(), 3u);
   for (auto const& [names, why] :
        {std::pair<std::vector<std::string>, char const*>{{"n1", "edge-n1-0"}, "n1:0: named twice"},
         {{"oslo"}, "no such node, zone or region: oslo"}}) {
     try {
-      nodes_named(c, names);
+      find_proxies(c, names);
       cr_assert_fail("%s", why);
     } catch (DrainOrderError const& e) {
       cr_assert_str_eq(e.what(), why);
@@ -621,21 +618,21 @@
   s.via = "m";
   for (char const* f : {"a", "b"}) {
     s.front = f;
-    c.keep(s);
+    c.record_keepalive(s);
   }
   u64 const both = hash64("a") + hash64("b");
   for (int t = 1; t <= 5; ++t) {
-    cr_assert_eq(c.alive("m", t), both);
-    c.expire(t);
+    cr_assert_eq(c.renew_entries_of("m", t), both);
+    c.drop_expired(t);
   }
-  cr_assert_eq(c.rows().size(), 2u);
-  cr_assert_eq(c.alive("other", 5), 0u);
+  cr_assert_eq(c.entries().size(), 2u);
+  cr_assert_eq(c.renew_entries_of("other", 5), 0u);
   s.front = "a";
   s.via.clear();
   s.channel = 3;
   s.heard = 5;
-  c.keep(s);
-  cr_assert_eq(c.alive("m", 5.5), hash64("b"), "what registered here is not vouched for by others");
+  c.record_keepalive(s);
+  cr_assert_eq(c.renew_entries_of("m", 5.5), hash64("b"), "what registered here is not vouched for by others");
   auto const l = c.resolve(ClientContext{"z", "r"}, {"a"});
   cr_assert(l.size() == 1 && l[0]->front == "b", "a cordoned site is not named");
   cr_assert_eq(c.resolve(ClientContext{"z", "r"}, {"a", "b"}).size(), 2u, "unless there is nobody else");
--- a/tests/drain/server_drain_test.cpp
+++ b/tests/drain/server_drain_test.cpp
@@ -65,7 +65,7 @@
                       best->speed;
     best->work.push_back(Work{now + d, kind, rnd() % 6, now});
     if (kind == 1) ++keyed;
-    if (unit_of(reg, best->id) != nullptr && drained(*best)) ++late;
+    if (find_unit(reg, best->id) != nullptr && drained(*best)) ++late;
   }
   std::vector<ServerObservation> seen() {
     bool all = true;
@@ -89,15 +89,15 @@
       x.service = "svc";
       x.zone = s.zone;
       x.region = s.region;
-      x.present = true;
-      x.ready = told.count(s.id) == 0;
+      x.is_present = true;
+      x.is_ready = told.count(s.id) == 0;
       x.slots = 12;
-      x.told = all;
-      x.held = sum[s.id];
-      if (random_order && x.ready) {  // the order knows nothing
-        x.held.uploads = x.held.keyed = 0;
-        x.held.bytes = x.held.age = 0;
-        x.held.sessions = static_cast<u32>(hash64(s.id) % 3);
+      x.is_fully_reported = all;
+      x.open_work = sum[s.id];
+      if (random_order && x.is_ready) {  // the order knows nothing
+        x.open_work.uploads = x.open_work.keyed = 0;
+        x.open_work.bytes = x.open_work.age = 0;
+        x.open_work.sessions = static_cast<u32>(hash64(s.id) % 3);
       }
       v.push_back(std::move(x));
     }
@@ -139,14 +139,14 @@
       }
     }
     DrainActions const m = drainer.step(reg, seen(), now);
-    if (u(0, 1) < 0.9) apply(reg, m);  // or the register did not answer in time
-    if (u(0, 1) < 0.1) apply(reg, m);
+    if (u(0, 1) < 0.9) apply_actions(reg, m);  // or the register did not answer in time
+    if (u(0, 1) < 0.1) apply_actions(reg, m);
     std::size_t out = 0;
     for (DrainUnit const& x : reg.units)
       if (x.stage == DrainStage::draining || x.stage == DrainStage::empty) told.try_emplace(x.name, now);
     for (Server& s : servers) {
       if (!s.there) continue;
-      DrainUnit const* x = unit_of(reg, s.id);
+      DrainUnit const* x = find_unit(reg, s.id);
       bool const leaving = x != nullptr && (x->stage == DrainStage::draining || x->stage == DrainStage::empty);
       out += leaving ? 1 : 0;
       out_s += leaving ? 1 : 0;
@@ -211,8 +211,7 @@
   h.service = "svc";
   h.n = static_cast<u32>(d.servers.size());
   o.had.push_back(h);
-  u64 id = 0;
-  cr_assert(start(d.reg, o, id));
+  cr_assert(start_run(d.reg, o).is_new);
 }
 }  // namespace
 
@@ -255,13 +254,12 @@
     u.name = "s" + std::to_string(i);
     o.units.push_back(u);
   }
-  u64 id = 0;
-  start(s, o, id);
+  start_run(s, o);
   s.units[77].stage = DrainStage::draining;
   ServerDrainPlanner d{ServerDrainOptions{}};
   std::set<std::string> all;
   for (int k = 0; k < 70; ++k) {
-    auto const v = d.interest(s);
+    auto const v = d.servers_to_survey(s);
     cr_assert_leq(v.size(), 33u);
     cr_assert_str_eq(v[0].c_str(), "s77", "what drains is asked about each time");
     all.insert(v.begin(), v.end());
@@ -290,50 +288,49 @@
   h.service = "svc";
   h.n = 4;
   o.had.push_back(h);
-  u64 id = 0;
-  cr_assert(start(s, o, id));
+  cr_assert(start_run(s, o).is_new);
   std::vector<ServerObservation> v(4);
   char const* const names[] = {"a", "b", "c", "d"};
   for (std::size_t i = 0; i < 4; ++i) {
     v[i].id = names[i];
     v[i].service = "svc";
     v[i].region = "r";
-    v[i].present = v[i].ready = v[i].told = true;
+    v[i].is_present = v[i].is_ready = v[i].is_fully_reported = true;
     v[i].slots = 4;
   }
   ServerDrainPlanner d{ServerDrainOptions{}};
-  v[3].present = false;
-  cr_assert(d.step(s, v, 10).moves.empty(), "one is lost, and one may be out");
-  v[3].present = true;
+  v[3].is_present = false;
+  cr_assert(d.step(s, v, 10).transitions.empty(), "one is lost, and one may be out");
+  v[3].is_present = true;
   for (auto& x : v)
-    x.held.sessions = 3;
+    x.open_work.sessions = 3;
   DrainActions m = d.step(s, v, 11);
-  cr_assert(m.moves.empty(), "12 of 12 slots would be in use");
-  cr_assert(m.words.at(0).why.find("svc in r") == 0, "%s", m.words[0].why.c_str());
+  cr_assert(m.transitions.empty(), "12 of 12 slots would be in use");
+  cr_assert(m.messages.at(0).text.find("svc in r") == 0, "%s", m.messages[0].text.c_str());
   for (auto& x : v)
-    x.held.sessions = 1;
-  v[0].held.uploads = 1;
-  v[0].held.bytes = 5e6;
+    x.open_work.sessions = 1;
+  v[0].open_work.uploads = 1;
+  v[0].open_work.bytes = 5e6;
   m = d.step(s, v, 12);
-  cr_assert(m.moves.size() == 1 && m.moves[0].name == "b", "who holds a long upload goes last");
-  apply(s, m);
-  v[1].ready = false;
-  v[1].held = OpenWork{};
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "b", "who holds a long upload goes last");
+  apply_actions(s, m);
+  v[1].is_ready = false;
+  v[1].open_work = OpenWork{};
   for (int t = 13; t < 20; ++t) {
     m = d.step(s, v, t);
-    cr_assert_eq(m.moves.size(), t >= 17 ? 1u : 0u, "at %d: not before the news has spread", t);
-    if (t == 16) v[1].told = false;
+    cr_assert_eq(m.transitions.size(), t >= 17 ? 1u : 0u, "at %d: not before the news has spread", t);
+    if (t == 16) v[1].is_fully_reported = false;
     if (t == 16) {
-      cr_assert(d.step(s, v, 16.5).moves.empty(), "who has not said what it holds may hold something");
-      v[1].told = true;
-      cr_assert(d.step(s, v, 16.6).moves.empty());
-      cr_assert(d.step(s, v, 17.0).moves.empty(), "it has to be said twice");
+      cr_assert(d.step(s, v, 16.5).transitions.empty(), "who has not said what it holds may hold something");
+      v[1].is_fully_reported = true;
+      cr_assert(d.step(s, v, 16.6).transitions.empty());
+      cr_assert(d.step(s, v, 17.0).transitions.empty(), "it has to be said twice");
       m = d.step(s, v, 17.5);
-      cr_assert(m.moves.size() == 1 && m.moves[0].to == DrainStage::empty);
+      cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::empty);
       break;
     }
   }
-  apply(s, m);
-  cr_assert(command(s, 3, DrainCommand::take_back, "b"));
+  apply_actions(s, m);
+  cr_assert(control_run(s, 3, DrainCommand::take_back, "b"));
   cr_assert(s.passes[0].back == 1);
 }
--- a/tests/planning/evacuation_forecast_test.cpp
+++ b/tests/planning/evacuation_forecast_test.cpp
@@ -4,7 +4,9 @@
 #include <random>
 
 #include "idempotency/key_table.hpp"
+#include "load_balancing/load_balancer.hpp"
 #include "planning/forecast.hpp"
+#include "planning/traffic_observer.hpp"
 
 using namespace dockbend;
 
@@ -107,7 +109,7 @@
     double const x = u(0, 1);
     e.w.kind = x < 0.6 ? 0 : x < 0.9 ? 1 : 2;
     e.w.upload = e.w.kind == 2;
-    p.ob.errand(routes[e.w.kind], "p", {}, e.w.upload, e.at);
+    p.ob.on_request(routes[e.w.kind], "p", {}, e.w.upload, e.at);
     ++came;
     if (e.w.kind == 1) {
       // A client that lost patience sends its key again, through another proxy at times.
@@ -156,7 +158,7 @@
       if (servers[i].id == p.as->at(*ch.ix).id) e.w.server = i;
     e.w.sent = e.at;
     Server& s = servers[e.w.server];
-    p.ob.sent(routes[e.w.kind], s.zone, e.at);
+    p.ob.on_attempt(routes[e.w.kind], s.zone, e.at);
     if (gone.count(s.zone) > 0) ++into_gone;
     if (!e.w.key.empty()) ++runs[e.w.key];
     uploads_begun += e.w.upload ? 1 : 0;
@@ -274,12 +276,11 @@
     Town t(seed, 1.5, 0.5, 4);
     t.run(30);
     std::string const zone = seed % 2 == 0 ? "n2" : "n1";
-    EvacuationForecast const f = forecast(t.capture(), {zone}, ForecastOptions{});
+    EvacuationForecast const f = forecast_evacuation(t.capture(), {zone}, ForecastOptions{});
     cr_assert(f.fits, "seed %u", seed);
     t.evacuate({zone});
     t.run(42);
-    std::vector<ForecastDifference> d;
-    double const off = compare(f, t.capture(), d);
+    double const off = compare_forecast(f, t.capture()).deviation;
     cr_assert_lt(off, 0.15, "seed %u: off by %.3f", seed, off);
     t.run(60, false);
     cr_assert_eq(t.into_gone, 0);
@@ -298,7 +299,7 @@
     for (unsigned seed = 1; seed <= 6; ++seed) {
       Town t(seed, 3.9, width, 1);
       t.run(30);
-      EvacuationForecast const f = forecast(t.capture(), {"n1", "n2"}, ForecastOptions{});
+      EvacuationForecast const f = forecast_evacuation(t.capture(), {"n1", "n2"}, ForecastOptions{});
       cr_assert_not(f.fits, "seed %u", seed);
       bool over = false;
       for (ZoneUtilization const& z : f.loads)
--- a/tests/planning/planning_test.cpp
+++ b/tests/planning/planning_test.cpp
@@ -1,12 +1,13 @@
 #include <criterion/criterion.h>
 
 #include "planning/forecast.hpp"
+#include "planning/traffic_observer.hpp"
 
 using namespace dockbend;
 
 namespace {
 // Three zones of uneven size in two regions, one proxy each.
-FleetSnapshot town(double scale) {
+FleetSnapshot three_zone_fleet(double scale) {
   FleetSnapshot c;
   c.settled = true;
   c.beatPeriodS = 1;
@@ -72,11 +73,11 @@
 }
 }  // namespace
 
-Test(atlas, what_stays_takes_over_and_homes_bind) {
+Test(forecast, remaining_zones_take_over_and_home_regions_bind) {
   for (u64 seed = 1; seed <= 5; ++seed) {
     ForecastOptions p;
     p.seed = seed;
-    EvacuationForecast const f = forecast(town(1), {"n1"}, p);
+    EvacuationForecast const f = forecast_evacuation(three_zone_fleet(1), {"n1"}, p);
     cr_assert(f.fits, "seed %llu", static_cast<unsigned long long>(seed));
     cr_assert_eq(after(f, "n1", "read"), 0);
     double const all = after(f, "n2", "read") + after(f, "s1", "read");
@@ -87,9 +88,9 @@
   }
 }
 
-Test(atlas, overload_and_homelessness_are_said) {
+Test(forecast, overload_and_missing_home_regions_are_reported) {
   ForecastOptions p;
-  EvacuationForecast const f = forecast(town(5), {"s1"}, p);
+  EvacuationForecast const f = forecast_evacuation(three_zone_fleet(5), {"s1"}, p);
   cr_assert_not(f.fits);
   bool homeless = false, over = false;
   for (UnservedRate const& u : f.unserved)
@@ -98,43 +99,42 @@
     over = over || z.overloaded;
   cr_assert(homeless, "its only home is gone");
   cr_assert(over);
-  EvacuationForecast const calm = forecast(town(1), {}, p);
+  EvacuationForecast const calm = forecast_evacuation(three_zone_fleet(1), {}, p);
   cr_assert(calm.fits);
 }
 
-// A partner whose home is the zone's region alone is homeless without it, on a lane
-// that others may use anywhere.
-Test(atlas, partners_homes_bind_too) {
-  FleetSnapshot c = town(1);
+// Requests of a tenant whose only home region is gone are unserved, on a route that others may use anywhere.
+Test(forecast, home_regions_of_tenants_bind_too) {
+  FleetSnapshot c = three_zone_fleet(1);
   RouteRate l;
   l.route = "read";
   l.pool = "p";
   l.rate = 5;
   l.homes = {"south"};
   c.surveys[0].routes.push_back(l);
-  EvacuationForecast const f = forecast(c, {"s1"}, ForecastOptions{});
+  EvacuationForecast const f = forecast_evacuation(c, {"s1"}, ForecastOptions{});
   bool read = false;
   for (UnservedRate const& u : f.unserved)
     read = read || (u.route == "read" && u.homeless);
   cr_assert(read);
-  cr_assert(forecast(c, {"n2"}, ForecastOptions{}).fits);
+  cr_assert(forecast_evacuation(c, {"n2"}, ForecastOptions{}).fits);
 }
 
-Test(atlas, a_partial_capture_is_said_so) {
-  FleetSnapshot c = town(1);
+Test(forecast, an_incomplete_snapshot_makes_it_partial) {
+  FleetSnapshot c = three_zone_fleet(1);
   c.silent = {"front-x"};
-  cr_assert(forecast(c, {"n1"}, ForecastOptions{}).partial);
+  cr_assert(forecast_evacuation(c, {"n1"}, ForecastOptions{}).partial);
 }
 
-// What a forecast says against what the same proxies then do, by the servers' own
-// count: another seed, so other chances.
-Test(atlas, predicted_against_received) {
+// A forecast against one with another seed, which stands for what the servers then receive.
+Test(forecast, its_deviation_from_what_is_received_is_small) {
   for (u64 seed = 1; seed <= 6; ++seed) {
     ForecastOptions a, b;
     a.seed = seed;
     b.seed = seed + 100;
     b.seconds = 60;
-    EvacuationForecast const f = forecast(town(2), {"n2"}, a), g = forecast(town(2), {"n2"}, b);
+    EvacuationForecast const f = forecast_evacuation(three_zone_fleet(2), {"n2"}, a),
+                             g = forecast_evacuation(three_zone_fleet(2), {"n2"}, b);
     FleetSnapshot then;
     TrafficSurvey s;
     for (RouteFlow const& l : g.flows) {
@@ -145,16 +145,15 @@
       s.sent.push_back(x);
     }
     then.surveys.push_back(s);
-    std::vector<ForecastDifference> d;
-    double const off = compare(f, then, d);
+    double const off = compare_forecast(f, then).deviation;
     cr_assert_lt(off, 0.1, "seed %llu: %.3f", static_cast<unsigned long long>(seed), off);
   }
 }
 
-Test(atlas, rates_are_of_whole_seconds_and_fade) {
+Test(traffic_observer, rates_cover_complete_seconds_and_fade) {
   TrafficObserver o;
   for (int i = 0; i < 300; ++i)
-    o.errand("l", "p", {}, i % 3 == 0, 100 + i * 0.1);
+    o.on_request("l", "p", {}, i % 3 == 0, 100 + i * 0.1);
   TrafficSurvey s;
   o.fill(s, 130);
   cr_assert_float_eq(s.routes[0].rate, 10, 0.2);
--- a/tests/server_registry/server_registry_test.cpp
+++ b/tests/server_registry/server_registry_test.cpp
@@ -24,30 +24,30 @@
 }
 }  // namespace
 
-Test(roll, a_late_beat_changes_nothing) {
+Test(server_registry, a_late_heartbeat_changes_nothing) {
   ServerRegistry r;
-  r.beat(row("a", 5), "me", 0);
-  cr_assert(r.beat(row("a", 6, ServerState::draining), "me", 1));
-  cr_assert_not(r.beat(row("a", 5), "me", 2));
-  cr_assert(r.get("a", 2)->state == ServerState::draining);
+  r.record_heartbeat(row("a", 5), "me", 0);
+  cr_assert(r.record_heartbeat(row("a", 6, ServerState::draining), "me", 1));
+  cr_assert_not(r.record_heartbeat(row("a", 5), "me", 2));
+  cr_assert(r.find("a", 2)->state == ServerState::draining);
   ServerRecord left = row("a", kDepartedSequence, ServerState::gone);
-  cr_assert(r.join(left, 3));
-  cr_assert_not(r.beat(row("a", 7), "me", 4), "what left stays gone");
+  cr_assert(r.merge_record(left, 3));
+  cr_assert_not(r.record_heartbeat(row("a", 7), "me", 4), "a server that has left stays gone");
 }
 
-Test(roll, silence_ends_a_row_and_a_beat_revives_it) {
+Test(server_registry, a_timeout_marks_a_server_gone_and_a_heartbeat_revives_it) {
   ServerRegistry r;
-  r.beat(row("a", 1), "me", 0);
-  cr_assert(r.expire("me", 4.5, 4).empty());
-  cr_assert_eq(r.expire("me", 4.5, 5).size(), 1u);
-  cr_assert(r.beat(row("a", 2), "me", 6));
-  cr_assert(r.get("a", 6)->state == ServerState::ready);
-  r.forgive(20);
-  cr_assert(r.expire("me", 4.5, 21).empty(), "after a stall of our own nobody is late");
+  r.record_heartbeat(row("a", 1), "me", 0);
+  cr_assert(r.mark_silent_gone("me", 4.5, 4).empty());
+  cr_assert_eq(r.mark_silent_gone("me", 4.5, 5).size(), 1u);
+  cr_assert(r.record_heartbeat(row("a", 2), "me", 6));
+  cr_assert(r.find("a", 6)->state == ServerState::ready);
+  r.restart_timeouts(20);
+  cr_assert(r.mark_silent_gone("me", 4.5, 21).empty(), "after a stall of this process no server is late");
 }
 
-// News in any order, some twice, some lost and mended by a full table: all end alike.
-Test(roll, any_order_ends_in_one_table) {
+// Records in any order, some twice, some lost and repaired by a complete list: all registries end equal.
+Test(server_registry, records_in_any_order_give_equal_registries) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 rnd(seed);
     std::vector<ServerRecord> news;
@@ -59,17 +59,17 @@
     }
     ServerRegistry a, b;
     for (ServerRecord const& r : news)
-      a.join(r, 0);
+      a.merge_record(r, 0);
     std::shuffle(news.begin(), news.end(), rnd);
     for (ServerRecord const& r : news)
-      if (rnd() % 4 != 0) b.join(r, 0);
-    for (ServerRecord const& r : a.all(0))
-      b.join(r, 0);
+      if (rnd() % 4 != 0) b.merge_record(r, 0);
+    for (ServerRecord const& r : a.records(0))
+      b.merge_record(r, 0);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
 
-Test(catalog, rows_drop_after_missed_keepalives_and_lists_stay_short) {
+Test(directory, entries_drop_after_missed_keepalives_and_lists_stay_short) {
   Directory<NearestSelector> c(3.0);
   for (int i = 0; i < 6; ++i) {
     ProxyEntry s{};
@@ -78,11 +78,11 @@
     s.region = i < 4 ? "north" : "south";
     s.ready = true;
     s.heard = i == 0 ? 0 : 2;
-    c.keep(s);
+    c.record_keepalive(s);
   }
   cr_assert_eq(c.resolve({"n1", "north"}).size(), 2u);
-  c.expire(3.5);
-  cr_assert_eq(c.rows().size(), 5u);
+  c.drop_expired(3.5);
+  cr_assert_eq(c.entries().size(), 5u);
   for (ProxyEntry const* s : c.resolve({"n1", "north"}))
     cr_assert_str_eq(s->zone.c_str(), "n1");
   ProxyEntry o;
@@ -91,26 +91,25 @@
   o.region = "north";
   o.ready = true;
   o.heard = 3;
-  c.keep(o);
+  c.record_keepalive(o);
   auto const l = c.resolve({"n1", "north"});
   cr_assert_eq(l.size(), 3u);
   cr_assert_eq(std::count_if(l.begin(), l.end(), [](ProxyEntry const* s) { return s->zone == "n2"; }), 1,
                "not all in one zone");
-  c.expire(9);
+  c.drop_expired(9);
   cr_assert(c.resolve({"n1", "north"}).empty());
 }
 
-// News on its way makes two rolls differ for a moment; only a lasting difference counts.
-// Who begins to be fed gets the whole as it was a moment ago and then what changed since:
-// together they are the whole as it is.
-Test(roll, an_old_whole_and_what_changed_since_are_the_whole) {
+// A new subscriber gets the complete list of a moment ago and then what changed since: together they are the
+// complete list of now.
+Test(server_registry, an_old_complete_list_and_the_changes_since_give_the_current_one) {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::mt19937 rnd(seed);
     ServerRegistry a, b;
     std::vector<ServerRecord> whole;
     Seconds const at = 5;
     for (int t = 0; t <= 10; ++t) {
-      if (t == 5) whole = a.all(t);
+      if (t == 5) whole = a.records(t);
       for (int k = 0; k < 4; ++k) {
         ServerRecord r;
         r.id = "s" + std::to_string(rnd() % 12);
@@ -118,45 +117,46 @@
         r.address = "10.0.0.1:" + std::to_string(1 + rnd() % 3);
         r.state = static_cast<ServerState>(1 + rnd() % 3);
         r.seq = static_cast<u64>(t) * 10 + k;
-        a.join(r, t);
+        a.merge_record(r, t);
       }
     }
     for (ServerRecord const& r : whole)
-      b.join(r, 10);
+      b.merge_record(r, 10);
     for (ServerRecord const& r : a.changed_since(at, 10))
-      b.join(r, 10);
+      b.merge_record(r, 10);
     cr_assert_eq(a.digest(), b.digest(), "seed %u", seed);
   }
 }
 
-Test(roll, a_passing_difference_is_no_mismatch) {
+// Updates on their way make two registries differ for a moment; only a lasting difference counts.
+Test(digest_mismatch_detector, a_passing_difference_is_no_mismatch) {
   DigestMismatchDetector m;
   for (u64 i = 0; i < 7; ++i)
-    cr_assert_not(m.hear(i, i + 1), "both move");
-  cr_assert_not(m.hear(9, 9));
-  cr_assert_not(m.hear(9, 8));
-  cr_assert(m.hear(9, 8), "both stand still and differ");
+    cr_assert_not(m.observe(i, i + 1), "both move");
+  cr_assert_not(m.observe(9, 9));
+  cr_assert_not(m.observe(9, 8));
+  cr_assert(m.observe(9, 8), "both stand still and differ");
   DigestMismatchDetector n;
   bool told = false;
   for (u64 i = 0; i < 9; ++i)
-    told = n.hear(i, i + 1) || told;
+    told = n.observe(i, i + 1) || told;
   cr_assert(told, "or differ for long");
 }
 
-// All power was lost and the table begins empty: nobody is sent to the first few rows.
-Test(catalog, a_table_that_fills_names_nobody_yet) {
+// After a loss of all power the table begins empty: no client is sent to its first few entries.
+Test(directory, a_table_that_is_filling_is_not_settled) {
   Directory<NearestSelector> c(1.9, 1.2);
-  cr_assert_not(c.settled(100));
+  cr_assert_not(c.is_settled(100));
   for (int i = 0; i < 30; ++i) {
     ProxyEntry s;
     s.front = "10.0.0." + std::to_string(i) + ":80";
     s.zone = s.region = "z";
     s.ready = true;
     s.heard = 100 + i * 0.03;
-    c.keep(s);
-    if (i < 29) cr_assert_not(c.settled(s.heard));
+    c.record_keepalive(s);
+    if (i < 29) cr_assert_not(c.is_settled(s.heard));
   }
-  cr_assert(c.settled(101.2));
+  cr_assert(c.is_settled(101.2));
   ClientContext who;
   who.zone = who.region = "z";
   std::set<std::string> named;
