--- a/tests/drain/proxy_drain_test.cpp
+++ b/tests/drain/proxy_drain_test.cpp
@@ -27,9 +27,9 @@
   return o;
 }
 
-// A busy morning: regions of proxies, clients that keep lists for up to 15 s, requests
-// that are open for a while; three candidates for the duty over one register. Steps are
-// worked out by the real parts; only time, clients and losses are drawn.
+// A simulated busy morning: regions of proxies, clients that keep lists for up to 15 s, requests that are open for a
+// while, and three controllers that compete for the drain lease over one replicated state. Steps are planned by the
+// real classes; only time, clients and faults are drawn at random.
 struct Morning {
   struct Open {
     Seconds until = 0;
@@ -88,18 +88,18 @@
 
   void later(Seconds d, std::function<void()> f) { q.push_back({now + d, std::move(f)}); }
 
-  // Applied at once, or lost; answers come late, or not at all.
+  // A change is applied after a moment, or lost in a partition; its outcome arrives late, or not at all.
   void submit(std::size_t i, std::function<bool(ReplicatedState&)> change, std::function<void(bool)> done) {
     if (now < cores[i].cut_until) return later(1.0, [done] { done(false); });
     auto const ok = std::make_shared<bool>(false);
     later(u(0.02, 0.3), [this, change, ok] {
       ReplicatedState s = reg;
       if (!change(s)) return;
-      // As on the wire: what the others get is the difference.
+      // As on the wire: the other controllers get the difference.
       StateDelta const d = delta_of(reg, s);
       ReplicatedState t = reg;
       cr_assert(apply(t, d));
-      cr_assert_eq(t.units.size(), s.units.size(), "the difference says it all");
+      cr_assert_eq(t.units.size(), s.units.size(), "the difference is complete");
       reg = t;
       *ok = true;
     });
@@ -163,7 +163,7 @@
       return t != nullptr && t->fence == fence && t->holder == me && apply_actions(s, mv);
     };
     submit(i, change, [](bool) {});
-    if (u(0, 1) < 0.1) submit(i, change, [](bool) {});  // a repeat
+    if (u(0, 1) < 0.1) submit(i, change, [](bool) {});  // a repeated submission
   }
 
   void resolve(Client& c) {
@@ -296,9 +296,9 @@
 
 }  // namespace
 
-// Every node of a busy morning is restarted. No region runs short in any second, nothing
-// that may not be cut is cut, every confirmation runs once; whatever befalls the holder.
-Test(drain, a_rolling_pass_over_a_busy_morning) {
+// Every proxy is restarted on a busy morning. No region is short of capacity for a second, no keyed request or upload
+// is cut off, every key runs once, whatever faults the lease holder has.
+Test(proxy_drain, a_run_over_all_proxies_cuts_nothing_and_keeps_every_region_served) {
   for (unsigned seed = 1; seed <= 25; ++seed) {
     Morning m(seed, 0.8);
     for (int i = 0; i < 100; ++i)
@@ -349,9 +349,9 @@
   }
 }
 
-// A zone goes, or everybody comes at once, in the midst of a pass: it takes back who can
-// still serve, says why, begins nothing more, and goes on by itself after.
-Test(drain, a_shortage_takes_back_and_goes_on_by_itself) {
+// A zone fails, or demand surges, during a run: it takes back the proxies that can still serve, reports why, begins no
+// new unit, and goes on by itself afterwards.
+Test(proxy_drain, a_shortage_takes_proxies_back_and_the_run_goes_on_by_itself) {
   std::size_t days_taken_back = 0;
   for (unsigned seed = 1; seed <= 16; ++seed) {
     Morning m(seed, 0.65);
@@ -385,7 +385,7 @@
     }
     cr_assert(m.pass().state == DrainRunState::done, "seed %u: %u of %u back: %s", seed, m.pass().back, m.pass().total,
               m.pass().why.c_str());
-    cr_assert(said || !taken_back, "seed %u: who is taken back is told why", seed);
+    cr_assert(said || !taken_back, "seed %u: a proxy was taken back and no reason was reported", seed);
     days_taken_back += taken_back ? 1 : 0;
     for (auto const& [k, n] : m.runs)
       cr_assert_eq(n, 1);
@@ -394,7 +394,7 @@
   cr_assert_geq(days_taken_back, 12u, "%zu", days_taken_back);
 }
 
-Test(drain, orders_repeat_overlap_and_end) {
+Test(drain_run, orders_repeat_overlap_and_end) {
   ReplicatedState s;
   cr_assert(start_run(s, order_of({{"a", 0}, {"b", 1}})).is_new);
   cr_assert_not(start_run(s, order_of({{"a", 0}, {"b", 1}})).is_new, "the same call again");
@@ -422,18 +422,18 @@
   DrainActions m;
   m.transitions.push_back(StageTransition{7, "a", DrainStage::waiting, DrainStage::cordoned, 5});
   cr_assert(control_run(s, 7, DrainCommand::pause));
-  cr_assert_not(apply_actions(s, m), "nothing is begun in a pause");
+  cr_assert_not(apply_actions(s, m), "a paused run begins no unit");
   cr_assert(control_run(s, 7, DrainCommand::resume));
   cr_assert(apply_actions(s, m));
-  cr_assert_not(apply_actions(s, m), "a step has its effect once");
+  cr_assert_not(apply_actions(s, m), "a transition has its effect once");
   cr_assert(control_run(s, 7, DrainCommand::abort));
-  cr_assert(s.units.empty(), "who was out is named again");
+  cr_assert(s.units.empty(), "units that were out are in service again");
   cr_assert_not(control_run(s, 7, DrainCommand::abort));
   cr_assert_not(apply_actions(s, m));
 }
 
-// Who began anew under way is drained in its new life; a word of the old one counts no more.
-Test(drain, emptiness_is_of_the_life_that_is_drained) {
+// A proxy that restarted during its drain is drained in its new incarnation; reports of the old one do not count.
+Test(proxy_drain, a_proxy_is_empty_only_in_the_incarnation_that_is_drained) {
   ReplicatedState s;
   start_run(s, order_of({{"a", 0}}));
   s.units[0].stage = DrainStage::draining;
@@ -453,7 +453,7 @@
   n.open_uploads = 1;
   cr_assert(d.step(s, {n, other}, 11).transitions.empty());
   n.open_uploads = 0;
-  cr_assert(d.step(s, {n, other}, 12).transitions.empty(), "it has to say so twice");
+  cr_assert(d.step(s, {n, other}, 12).transitions.empty(), "it has to report it twice");
   n.is_reachable = false;
   cr_assert(d.step(s, {n, other}, 13).transitions.empty(), "out of reach it is not known to be empty");
   n.is_reachable = true;
@@ -461,7 +461,7 @@
   m = d.step(s, {n, other}, 15);
   cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::empty);
   apply_actions(s, m);
-  cr_assert(d.step(s, {n, other}, 16).transitions.empty(), "the old life is not back");
+  cr_assert(d.step(s, {n, other}, 16).transitions.empty(), "the old incarnation is not back");
   n.incarnation = 3;
   n.has_current_configuration = false;
   cr_assert(d.step(s, {n, other}, 17).transitions.empty(), "nor is one that lacks the configuration in force");
@@ -470,9 +470,9 @@
   cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::back);
 }
 
-// Who is dark before its turn holds nobody up, and has its turn once it is seen again; who went
-// dark under way is waited for.
-Test(drain, a_dark_node_holds_up_only_what_it_may_hold) {
+// A proxy that is unreachable before its turn does not hold up the others, and gets its turn once it is reached again;
+// one that became unreachable during its drain is waited for.
+Test(proxy_drain, an_unreachable_proxy_holds_up_the_run_only_during_its_own_drain) {
   ReplicatedState s;
   start_run(s, order_of({{"a", 0}, {"b", 1}}));
   ProxyDrainPlanner d{ProxyDrainOptions{}};
@@ -489,7 +489,7 @@
   apply_actions(s, m);
   v[0].is_ready = v[0].is_reachable = true;
   m = d.step(s, v, 11);
-  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "a", "seen again");
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "a", "reached again");
   apply_actions(s, m);
   v[0].is_reachable = false;
   v[1].incarnation = 4;
@@ -498,11 +498,11 @@
   cr_assert(d.step(s, v, 30).transitions.empty(), "a is under way and comes before b");
 }
 
-// What a proxy says of itself: nothing unasked, nothing of another life, and an answer that may
-// not be on disk yet counts as open.
-Test(drain, a_proxy_drains_in_the_life_that_is_meant) {
+// A proxy reports nothing without an instruction and nothing for another incarnation; an answer that may not be on disk
+// yet counts as open.
+Test(proxy_drain_state, a_proxy_drains_only_in_the_incarnation_named) {
   ProxyDrainState l(7);
-  cr_assert_eq(l.status(3, 2, 1).keyed, 0, "unasked it says nothing");
+  cr_assert_eq(l.status(3, 2, 1).keyed, 0, "without an instruction it reports nothing");
   DrainInstruction d;
   d.stage = static_cast<u32>(DrainStage::cordoned);
   cr_assert_not(l.on_instruction(d, 10));
@@ -510,22 +510,22 @@
   cr_assert_float_eq(l.status(3, 2, 14).since, 4, 1e-9);
   d.stage = static_cast<u32>(DrainStage::draining);
   d.incarnation = 6;
-  cr_assert_not(l.on_instruction(d, 20), "another life is meant");
-  cr_assert_eq(l.status(0, 0, 21).stage, 0, "it does not pass for the one that is meant");
+  cr_assert_not(l.on_instruction(d, 20), "another incarnation is named");
+  cr_assert_eq(l.status(0, 0, 21).stage, 0, "it does not report as the one that is named");
   d.incarnation = 7;
   cr_assert(l.on_instruction(d, 22));
   l.on_keyed_answer(23);
   cr_assert_eq(l.status(1, 0, 24).keyed, 2);
   cr_assert_eq(l.status(0, 0, 24.6).keyed, 0);
-  cr_assert_float_eq(l.status(0, 0, 25).since, 15, 1e-9, "counted from the first word");
+  cr_assert_float_eq(l.status(0, 0, 25).since, 15, 1e-9, "counted from the first instruction");
   cr_assert(l.on_instruction(DrainInstruction{}, 26), "called off");
   d.stage = static_cast<u32>(DrainStage::cordoned);
   l.on_instruction(d, 30);
-  cr_assert_float_eq(l.status(0, 0, 31).since, 1, 1e-9, "and counted anew");
+  cr_assert_float_eq(l.status(0, 0, 31).since, 1, 1e-9, "and counted from there again");
 }
 
 namespace {
-FleetSnapshot halls(int per_zone, double load) {
+FleetSnapshot loaded_fleet(int per_zone, double load) {
   FleetSnapshot c;
   c.settled = true;
   for (auto const& [z, g] : {std::pair{"n1", "north"}, {"n2", "north"}, {"s1", "south"}}) {
@@ -565,8 +565,8 @@
 }
 }  // namespace
 
-Test(drain, waves_keep_the_headroom_and_cover_all) {
-  FleetSnapshot const c = halls(8, 0.4);
+Test(drain_waves, waves_keep_the_headroom_and_cover_all_proxies) {
+  FleetSnapshot const c = loaded_fleet(8, 0.4);
   auto const fronts = find_proxies(c, {"north", "south"});
   DrainWavePlan const p = plan_drain_waves(c, fronts, 0.2);
   cr_assert(p.fits);
@@ -587,14 +587,15 @@
   }
   cr_assert_eq(all.size(), 24u);
   cr_assert_leq(p.waves.size(), 5u, "%zu waves", p.waves.size());
-  DrainWavePlan const tight = plan_drain_waves(halls(2, 0.75), find_proxies(c, {"s1:0"}), 0.2);
+  DrainWavePlan const tight = plan_drain_waves(loaded_fleet(2, 0.75), find_proxies(c, {"s1:0"}), 0.2);
   cr_assert_not(tight.fits);
   cr_assert_str_eq(tight.lacks.at(0).region.c_str(), "south");
-  cr_assert_str_eq(tight.lacks.at(0).kind.c_str(), "idempotent", "what matters less goes first");
+  cr_assert_str_eq(tight.lacks.at(0).kind.c_str(), "idempotent",
+                   "the kind with the higher rank number lacks capacity first");
 }
 
-Test(drain, names_are_found_or_said) {
-  FleetSnapshot const c = halls(2, 0.2);
+Test(drain_orders, names_are_resolved_or_reported) {
+  FleetSnapshot const c = loaded_fleet(2, 0.2);
   cr_assert_eq(find_proxies(c, {"n1", "edge-s1-0"}).size(), 3u);
   for (auto const& [names, why] :
        {std::pair<std::vector<std::string>, char const*>{{"n1", "edge-n1-0"}, "n1:0: named twice"},
@@ -608,8 +609,8 @@
   }
 }
 
-// Other regions hear of changes only, and that the rest stands.
-Test(catalog, what_a_mate_vouches_for_lives_and_differences_show) {
+// Other regions get changes only, and the statement that the rest is unchanged.
+Test(directory, entries_renewed_by_their_primary_live_and_differences_show) {
   Directory<NearestSelector> c(1.9);
   ProxyEntry s;
   s.zone = "z";
@@ -632,8 +633,9 @@
   s.channel = 3;
   s.heard = 5;
   c.record_keepalive(s);
-  cr_assert_eq(c.renew_entries_of("m", 5.5), hash64("b"), "what registered here is not vouched for by others");
+  cr_assert_eq(c.renew_entries_of("m", 5.5), hash64("b"),
+               "a proxy registered here is not renewed by another directory");
   auto const l = c.resolve(ClientContext{"z", "r"}, {"a"});
-  cr_assert(l.size() == 1 && l[0]->front == "b", "a cordoned site is not named");
-  cr_assert_eq(c.resolve(ClientContext{"z", "r"}, {"a", "b"}).size(), 2u, "unless there is nobody else");
+  cr_assert(l.size() == 1 && l[0]->front == "b", "a cordoned proxy is not named");
+  cr_assert_eq(c.resolve(ClientContext{"z", "r"}, {"a", "b"}).size(), 2u, "unless there is no other");
 }
--- a/tests/drain/server_drain_test.cpp
+++ b/tests/drain/server_drain_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// A working day of one service over two regions: servers of uneven speed, requests, long uploads and
-// keyed confirmations by the real choice among ready ones (the least loaded of two drawn), proxies that
-// tell once a second what they hold. The operator ends what is empty; another comes in its place.
+// A simulated working day of one service in two regions: servers of uneven speed; requests, long uploads and keyed
+// requests, each sent to the least loaded of a few ready servers drawn at random; proxies that report once a second
+// what they have open. The operator ends servers that are empty, and a new one comes in place of each.
 struct Day {
   struct Work {
     Seconds until = 0;
@@ -47,7 +47,7 @@
   }
   bool drained(Server const& s) const {
     auto const it = told.find(s.id);
-    return it != told.end() && now - it->second > 1;  // the news is on its way for a moment
+    return it != told.end() && now - it->second > 1;  // proxies learn of it after a moment
   }
   void arrive(std::string const& g) {
     Server* best = nullptr;
@@ -215,9 +215,9 @@
 }
 }  // namespace
 
-// Ten hours, every server replaced: no upload begun again, no session broken, whatever goes
-// silent or is lost; and what the order brings against leaving by chance.
-Test(rotation, a_working_day_breaks_nothing) {
+// Ten hours, every server replaced: no upload is begun again and no session broken, whichever proxies are silent or
+// servers lost; and the order of leaving is better than chance.
+Test(server_drain, a_rotation_over_a_working_day_breaks_nothing) {
   double ordered = 0, random = 0;
   for (unsigned seed = 1; seed <= 4; ++seed)
     for (bool const by_chance : {false, true}) {
@@ -233,16 +233,15 @@
         cr_assert(s.id.rfind("new-", 0) == 0, "seed %u: %s is still there", seed, s.id.c_str());
       cr_assert_eq(d.broken, 0, "seed %u: %zu broken", seed, d.broken);
       cr_assert_eq(d.uploads_cut, 0);
-      cr_assert_eq(d.late, 0, "nothing new after it was told");
+      cr_assert_eq(d.late, 0, "a draining server got new requests after proxies learned of it");
       cr_assert_geq(d.fewest, 24u - 2 - 1, "two out at once, and one lost in between: %zu", d.fewest);
       (by_chance ? random : ordered) += d.out_s;
     }
   cr_assert_lt(ordered, 0.75 * random, "out of service for %.0f s in order, %.0f s by chance", ordered, random);
 }
 
-// What is asked of every proxy each second does not grow with the servers of a pass, and
-// yet each gets its turn.
-Test(rotation, few_are_asked_about_at_once) {
+// What is asked of every proxy each second does not grow with the servers of a run, and yet each gets its turn.
+Test(server_drain, few_waiting_servers_are_surveyed_at_once) {
   ReplicatedState s;
   DrainOrder o;
   o.id = "4";
@@ -261,15 +260,15 @@
   for (int k = 0; k < 70; ++k) {
     auto const v = d.servers_to_survey(s);
     cr_assert_leq(v.size(), 33u);
-    cr_assert_str_eq(v[0].c_str(), "s77", "what drains is asked about each time");
+    cr_assert_str_eq(v[0].c_str(), "s77", "a draining server is asked about each time");
     all.insert(v.begin(), v.end());
   }
   cr_assert_eq(all.size(), 500u);
 }
 
-// A lost server takes its place out of those that may be out; a report that is missing
-// counts as busy; nobody leaves for whom there is no room.
-Test(rotation, losses_silence_and_want_of_room_hold_it) {
+// A lost server counts among those that may be missing; a missing report counts as busy; no server leaves without the
+// headroom.
+Test(server_drain, losses_missing_reports_and_lack_of_capacity_hold_it_up) {
   ReplicatedState s;
   DrainOrder o;
   o.id = "3";
@@ -312,19 +311,19 @@
   v[0].open_work.uploads = 1;
   v[0].open_work.bytes = 5e6;
   m = d.step(s, v, 12);
-  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "b", "who holds a long upload goes last");
+  cr_assert(m.transitions.size() == 1 && m.transitions[0].name == "b", "a server with a long upload leaves last");
   apply_actions(s, m);
   v[1].is_ready = false;
   v[1].open_work = OpenWork{};
   for (int t = 13; t < 20; ++t) {
     m = d.step(s, v, t);
-    cr_assert_eq(m.transitions.size(), t >= 17 ? 1u : 0u, "at %d: not before the news has spread", t);
+    cr_assert_eq(m.transitions.size(), t >= 17 ? 1u : 0u, "at %d: not before all proxies know", t);
     if (t == 16) v[1].is_fully_reported = false;
     if (t == 16) {
-      cr_assert(d.step(s, v, 16.5).transitions.empty(), "who has not said what it holds may hold something");
+      cr_assert(d.step(s, v, 16.5).transitions.empty(), "a proxy that has not reported may have work open");
       v[1].is_fully_reported = true;
       cr_assert(d.step(s, v, 16.6).transitions.empty());
-      cr_assert(d.step(s, v, 17.0).transitions.empty(), "it has to be said twice");
+      cr_assert(d.step(s, v, 17.0).transitions.empty(), "it has to be reported twice");
       m = d.step(s, v, 17.5);
       cr_assert(m.transitions.size() == 1 && m.transitions[0].to == DrainStage::empty);
       break;
