--- a/packages/command_line/drain_commands.cpp
+++ b/packages/command_line/drain_commands.cpp
@@ -33,18 +33,18 @@
 PlannedOrder plan_rotation_order(FleetSnapshot const& snapshot, Options const& options, bool start,
                                  std::vector<std::string> const& names) {
   u64 const id = draw_order_id();
-  RotationPlan const plan = plan_rotation(snapshot, servers_named(snapshot, names),
+  RotationPlan const plan = plan_rotation(snapshot, find_servers(snapshot, names),
                                           static_cast<u32>(options.max_unavailable), options.headroom);
   show_plan(plan, options, start, print_rotation);
-  return {server_order(snapshot, plan, id, options.patience_seconds, options.replaced), plan.fits};
+  return {make_server_order(snapshot, plan, id, options.patience_seconds, options.replaced), plan.fits};
 }
 
 PlannedOrder plan_proxy_order(FleetSnapshot const& snapshot, Options const& options, bool start,
                               std::vector<std::string> const& names) {
   u64 const id = draw_order_id();
-  DrainWavePlan const plan = plan_waves(snapshot, nodes_named(snapshot, names), options.headroom);
+  DrainWavePlan const plan = plan_drain_waves(snapshot, find_proxies(snapshot, names), options.headroom);
   show_plan(plan, options, start, print_drain_waves);
-  return {node_order(snapshot, plan, id, options.headroom, options.patience_seconds), plan.fits};
+  return {make_proxy_order(snapshot, plan, id, options.headroom, options.patience_seconds), plan.fits};
 }
 
 int send_order(ControlClient const& client, Options const& options, DrainTarget target, DrainOrder const& order) {
--- a/packages/command_line/evacuation_commands.cpp
+++ b/packages/command_line/evacuation_commands.cpp
@@ -69,7 +69,7 @@
   FleetSnapshot snapshot;
   if (int const failure = fetch_snapshot(client, snapshot)) return failure;
   if (int const failure = check_zones(snapshot, zones)) return failure;
-  EvacuationForecast const predicted = forecast(snapshot, zones, ForecastOptions{});
+  EvacuationForecast const predicted = forecast_evacuation(snapshot, zones, ForecastOptions{});
   std::string const text = json::render(predicted);
   if (!options.save_path.empty())
     if (int const failure = save_text(options.save_path, text)) return failure;
@@ -86,7 +86,9 @@
   FleetSnapshot snapshot;
   if (int const failure = fetch_snapshot(client, snapshot)) return failure;
   ComparisonReport report;
-  report.difference = compare(predicted, snapshot, report.differences);
+  ForecastComparison comparison = compare_forecast(predicted, snapshot);
+  report.difference = comparison.deviation;
+  report.differences = std::move(comparison.differences);
   report.tolerance = options.tolerance;
   report.is_within = report.difference <= options.tolerance;
   if (options.as_json)
--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -75,7 +75,7 @@
   idempotency->load(stored.keys, stored.answers);
   try {  // rows that can't be read come again with the heartbeats
     for (std::string const& row : stored.servers)
-      registry_.roll().load(codec::unpack<ServerRecord>(row), steady_now());
+      registry_.roll().restore(codec::unpack<ServerRecord>(row), steady_now());
     if (!stored.sites.empty()) directory_.load(codec::unpack<StateUpdate>(stored.sites).sites, steady_now());
   } catch (codec::MalformedMessage const&) {
     LOG4CPLUS_WARN(logger_, "Rows of servers or proxies on disk are malformed; the rest of them is left out.");
@@ -131,7 +131,7 @@
 void Controller::on_contact_changed(bool is_in_contact) {
   if (is_in_contact) {  // nobody could be heard meanwhile
     Seconds const now = steady_now();
-    registry_.roll().forgive(now);
+    registry_.roll().restart_timeouts(now);
     for (auto& [ip, peer] : context_.controllers)
       peer.heard = std::max(peer.heard, now);
   }
@@ -150,8 +150,8 @@
 
 void Controller::forgive_own_stall(Seconds now) {
   if (last_tick_at_ > 0 && now - last_tick_at_ > kStallSeconds) {  // others may have reported, unheard
-    registry_.roll().forgive(now);
-    directory_.catalog().forgive(now);
+    registry_.roll().restart_timeouts(now);
+    directory_.catalog().restart_timeouts(now);
   }
   last_tick_at_ = now;
 }
@@ -186,8 +186,8 @@
   // Out of contact heartbeats are heard but not acknowledged, and servers go to others: their silence says nothing.
   bool const could_be_heard = now - started_at_ > kMissedHeartbeats * context_.settings.beatPeriodS;
   if (could_be_heard && prober_.was_in_contact()) registry_.tick(now);
-  registry_.roll().purge(kServerPurgeSeconds, now);
-  directory_.catalog().expire(now);
+  registry_.roll().forget_gone(kServerPurgeSeconds, now);
+  directory_.catalog().drop_expired(now);
   directory_.count_sites(now);
   idempotency_->forget_old(now);
   rollouts_.forget_forwarded(now);
--- a/packages/controller/digest_gossip.cpp
+++ b/packages/controller/digest_gossip.cpp
@@ -67,7 +67,7 @@
   peer.fit = digest.fit;
   peer.node = digest.node;
   services_.consensus.on_peer_ballot(peer, digest.ballot, steady_now());
-  if (peer.off.hear(services_.registry.told_digest(), digest.digest)) services_.registry.spread_all(*peer.link);
+  if (peer.off.observe(services_.registry.told_digest(), digest.digest)) services_.registry.spread_all(*peer.link);
 }
 
 void DigestGossip::on_response(std::string const& ip, u32 tag, GossipDigest const& digest) {
--- a/packages/controller/rollout_service.cpp
+++ b/packages/controller/rollout_service.cpp
@@ -112,7 +112,7 @@
 /// Only changes of routes that proxies already serve by are staged. A first configuration has no earlier
 /// version to fall back to; a change that changes nothing or is faulty is decided by consensus at once.
 bool RolloutService::is_worth_staging(ConfigChange const& change) const {
-  if (!context_.committed || directory_service_.catalog().rows().empty()) return false;
+  if (!context_.committed || directory_service_.catalog().entries().empty()) return false;
   if (!serves_routes() || !brings_news(context_.committed->items, change)) return false;
   std::map<std::string, ConfigItem> items = context_.committed->by_key();
   std::string faulty_field;
@@ -293,8 +293,8 @@
   EncodedMessage const message = encode_message(MessageType::stage_request, packed);
   std::map<std::string, StageForwardRequest> elsewhere;  // by the controller's address
   for (std::string const& front : fronts) {
-    auto const it = directory_service_.catalog().rows().find(front);
-    if (it == directory_service_.catalog().rows().end()) continue;
+    auto const it = directory_service_.catalog().entries().find(front);
+    if (it == directory_service_.catalog().entries().end()) continue;
     if (it->second.channel != 0)
       send_to_session(it->second.channel, message);
     else
@@ -313,8 +313,8 @@
   forwarded_[inner.id] = ForwardedRequest{leader_ip, steady_now()};
   EncodedMessage const message = encode_message(MessageType::stage_request, request.hold);
   for (std::string const& front : request.sites) {
-    auto const it = directory_service_.catalog().rows().find(front);
-    if (it != directory_service_.catalog().rows().end()) send_to_session(it->second.channel, message);
+    auto const it = directory_service_.catalog().entries().find(front);
+    if (it != directory_service_.catalog().entries().end()) send_to_session(it->second.channel, message);
   }
 }
 
@@ -338,7 +338,7 @@
 
 void RolloutService::on_session_ended(u64 session_id) {
   for (auto& [id, led] : led_)
-    for (auto const& [front, proxy] : directory_service_.catalog().rows())
+    for (auto const& [front, proxy] : directory_service_.catalog().entries())
       if (proxy.channel == session_id) led.rollout.on_proxy_lost(front);
 }
 
@@ -350,7 +350,7 @@
 /// A frozen proxy must not use up the time that a rollout has, so it is left out.
 std::map<std::string, std::string> RolloutService::zones_of_proxies_in_touch(Seconds now) const {
   std::map<std::string, std::string> zone_of;
-  for (auto const& [front, proxy] : directory_service_.catalog().rows())
+  for (auto const& [front, proxy] : directory_service_.catalog().entries())
     if (is_in_touch(proxy, now)) zone_of[front] = proxy.zone;
   return zone_of;
 }
--- a/packages/controller/survey_service.cpp
+++ b/packages/controller/survey_service.cpp
@@ -57,7 +57,7 @@
   u64 const id = new_survey_id();
   PendingSurvey& survey = pending_[id];
   survey.http_request = http_request;
-  for (auto const& [front, proxy] : directory_service_.catalog().rows())
+  for (auto const& [front, proxy] : directory_service_.catalog().entries())
     survey.silent.insert(front);
   SurveyRequest request;
   request.id = id;
@@ -156,7 +156,7 @@
 }
 
 void SurveyService::add_servers(FleetSnapshot& snapshot) const {
-  for (ServerRecord const& record : registry_.roll().all(steady_now())) {
+  for (ServerRecord const& record : registry_.roll().records(steady_now())) {
     if (record.state == ServerState::gone) continue;
     ServerSnapshot server;
     server.id = record.id;
@@ -186,7 +186,7 @@
   std::map<std::string, std::string> node_of;  // front address -> machine that the proxy says it runs on
   for (TrafficSurvey const& survey : snapshot.surveys)
     node_of[survey.front] = survey.node;
-  for (auto const& [front, entry] : directory_service_.catalog().rows()) {
+  for (auto const& [front, entry] : directory_service_.catalog().entries()) {
     ProxySnapshot proxy;
     proxy.front = front;
     proxy.node = node_of[front];
--- a/packages/proxy/request_intake.cpp
+++ b/packages/proxy/request_intake.cpp
@@ -32,8 +32,8 @@
   if (!result.ok) return refuse(client_request, result);
   ProxiedRequest& request = open(client_request, std::move(result), now);
   context_.load_balancer.budget(request.service_index).errand(now);
-  context_.traffic_observer.errand(request.route->name, context_.load_balancer.pool_name(request.service_index),
-                                   request.homes, request.upload, now);
+  context_.traffic_observer.on_request(request.route->name, context_.load_balancer.pool_name(request.service_index),
+                                       request.homes, request.upload, now);
   quota_.admit(request, now);
 }
 
