--- a/packages/configuration/include/configuration/schema.hpp
+++ b/packages/configuration/include/configuration/schema.hpp
@@ -10,8 +10,8 @@
 
 namespace dockbend::schema {
 
-/// How a route's requests may be repeated. The numbers are on the wire and on disk: idempotent ones at will, effectful
-/// ones never once sent, keyed ones under the idempotency key that the client gives, inflow ones as streams come in.
+/// What a route's requests do: idempotent ones may be repeated, effectful ones may not, keyed ones run once for each
+/// idempotency key, inflow ones are uploads. The numbers are kept on the wire and on disk.
 enum class RouteKind : u8 { idempotent = 1, effectful = 2, keyed = 3, inflow = 4 };
 
 /// Which requests a route takes: those whose path begins with pathPrefix.
@@ -48,8 +48,8 @@
             (std::optional<bool>, selfDedupes), (std::optional<double>, coldS), (std::optional<double>, coldRateS),
             (Generation, generation));
 };
-/// A tenant's rate limit, shared by all proxies: `rate` requests a second, `burst` at once, and the share `reserve`
-/// that is kept at the proxies. Invariant after check: rate > 0, burst >= 1, 0 <= reserve < 1.
+/// A tenant's rate limit, shared by all proxies: `rate` requests a second, `burst` at once, and `reserve`, the share of
+/// the burst that is kept for requests of high rank. Invariant after check: rate > 0, burst >= 1, 0 <= reserve < 1.
 struct Allowance {
   DB_RECORD(Allowance, (double, rate), (double, burst), (std::optional<double>, reserve));
 };
