--- /dev/null
+++ b/packages/wire/include/wire/message_type.hpp
@@ -0,0 +1,62 @@
+/// The types of the messages between our own processes.
+#pragma once
+#include "base/types.hpp"
+
+namespace dockbend {
+
+/// The number in a frame's header that says which record its body is. Fixed on the wire: a number is never reused.
+enum class MessageType : u8 {
+  ping = 1,
+  handshake_request = 2,
+  handshake_response = 3,
+  proxy_heartbeat = 4,
+  proxy_heartbeat_response = 5,
+  subscribe = 6,
+  state_update = 7,
+  prepare_request = 10,
+  prepare_response = 11,
+  accept_request = 12,
+  accept_response = 13,
+  commit_notice = 14,
+  catch_up_request = 15,
+  catch_up_response = 16,
+  state_chunk = 17,
+  claim_request = 20,
+  claim_response = 21,
+  release_request = 22,
+  store_answer = 23,
+  fetch_answer_request = 24,
+  fetch_answer_response = 25,
+  key_copy_request = 26,
+  key_copy_response = 27,
+  server_records = 30,
+  digest = 31,
+  digest_response = 32,
+  acquire_key_request = 40,
+  acquire_key_response = 41,
+  key_outcome = 42,
+  proxy_load = 43,
+  leaving = 44,
+  stage_request = 50,
+  stage_response = 51,
+  rollout_status = 52,
+  stage_forward_request = 54,
+  proxy_records = 60,
+  clock_reading = 61,
+  usage_update = 62,
+  quota_lease_request = 63,
+  quota_lease_response = 64,
+  hand_over_command = 65,
+  survey_request = 66,
+  survey_response = 67,
+  drain_instruction = 68,
+  relay_request = 70,
+  relay_response = 71,
+  proxy_records_request = 72,
+  join_request = 73,
+  contact_probe = 80,
+  contact_probe_response = 81,
+  deflated = 255,
+};
+
+}  // namespace dockbend
