--- a/packages/transport/connection.cpp
+++ b/packages/transport/connection.cpp
@@ -158,8 +158,8 @@
   if (open())
     if (auto const peer = peer_address(bufferevent_getfd(bev_.get())))
       inet_ntop(AF_INET, &peer->sin_addr, from, sizeof from);
-  LOG4CPLUS_WARN(logger, "Ended a channel with " << from << ": " << why << ". " << rejected_input().channels
-                                                    << " such so far.");
+  LOG4CPLUS_WARN(
+      logger, "Ended a channel with " << from << ": " << why << ". " << rejected_input().channels << " such so far.");
 }
 
 void Connection::event_callback(bufferevent*, short events, void* self) {
