--- a/packages/consensus/include/consensus/vote_writer.hpp
+++ b/packages/consensus/include/consensus/vote_writer.hpp
@@ -1,83 +1,88 @@
-// Brings votes to the disk in order, each as what it changed. No I/O: the disk is a policy.
+/// Brings votes to the disk in order, each as what it changed. No I/O: the disk is a policy, since tests and the model
+/// checker put disks that fail in its place.
 #pragma once
+#include <algorithm>
 #include <deque>
 #include <functional>
 #include <map>
-#include <memory>
+#include <string>
 
 #include "consensus/state_rows.hpp"
 
 namespace dockbend {
 
-// One vote on its way to the disk: it may be written only on top of the vote `base`.
+/// One vote on its way to the disk. It may be written only on top of the vote `base`.
 struct VoteWrite {
   std::vector<StateRow> rows;
-  VoteHeader head;  // head.seq is this vote's own number
-  u64 base = 0;     // the vote that the disk must hold
+  VoteHeader head;  ///< head.seq is this vote's own number
+  u64 base = 0;     ///< the number of the vote that the disk must hold
 };
 
-// Takes votes in the order they come; writes one whole or not at all, and not at all unless
-// the last one written is its base; tells the outcome of each, in that order, later.
-template <class D>
-concept VoteDisk = requires(D& d, VoteWrite w, std::function<void(bool)> done) {
-  d.write_vote(std::move(w), std::move(done));
+/// Takes votes in the order they come; writes each completely or not at all, and not at all unless the last one written
+/// is its base; reports the outcome of each, in that order, later or at once.
+template <class Disk>
+concept VoteDisk = requires(Disk& disk, VoteWrite vote, std::function<void(bool)> done) {
+  disk.write_vote(std::move(vote), std::move(done));
 };
 
-// Invariants: sure_ is the last vote known to be on disk. Every row by which the newest
-// value handed in differs from the disk's is in a write under way or in dirty_. Each write
-// under way rests on the one before it, the first on sure_; so once one fails, none that
-// came after it can be written, and the next rests on sure_ and has all their rows.
-template <VoteDisk D>
+/// Invariants:
+/// - written_ is the last vote known to be on disk;
+/// - every row by which the newest value handed in differs from the disk's is in a write in flight or in
+///   unwritten_rows_;
+/// - each write in flight has the one before it as its base, the first has written_. Once one fails, none after it can
+///   be written; the next one has written_ as its base and carries all their rows.
+template <VoteDisk Disk>
 class VoteWriter {
  public:
   using Done = std::function<void(bool)>;
 
-  VoteWriter(D& d, u64 seq) : d_(d), sure_(seq), last_(seq) {}
+  /// disk: must outlive this. seq: the number of the vote that it holds (0: none).
+  VoteWriter(Disk& disk, u64 seq) : disk_(disk), written_(seq), last_(seq) {}
 
-  // done: whether this vote, and with it all before it, is on disk.
-  void write(VoteHeader head, std::vector<StateRow> rows, Done done) {
-    VoteWrite w;
-    for (StateRow& r : rows) {
-      std::string const k = r.key;
-      dirty_[k] = std::move(r);
-    }
-    for (auto& [k, r] : dirty_)
-      w.rows.push_back(std::move(r));
-    dirty_.clear();
-    w.base = under_way_.empty() ? sure_ : under_way_.back().head.seq;
-    w.head = std::move(head);
-    w.head.seq = ++last_;
-    under_way_.push_back(w);
-    d_.write_vote(std::move(w), [this, seq = last_, done = std::move(done)](bool ok) {
-      ok ? wrote(seq) : failed(seq);
-      done(ok);
+  /// done(true): this vote, and all before it, are on disk.
+  void write(VoteHeader header, std::vector<StateRow> rows, Done done) {
+    remember(std::move(rows));
+    VoteWrite vote;
+    for (auto& [key, row] : unwritten_rows_)
+      vote.rows.push_back(std::move(row));
+    unwritten_rows_.clear();
+    vote.base = in_flight_.empty() ? written_ : in_flight_.back().head.seq;
+    vote.head = std::move(header);
+    vote.head.seq = ++last_;
+    in_flight_.push_back(vote);
+    disk_.write_vote(std::move(vote), [this, seq = last_, done = std::move(done)](bool is_written) {
+      is_written ? on_written(seq) : on_failed(seq);
+      done(is_written);
     });
   }
-  bool idle() const { return under_way_.empty(); }
+  bool idle() const { return in_flight_.empty(); }
 
  private:
-  void wrote(u64 seq) {
-    sure_ = seq;
-    while (!under_way_.empty() && under_way_.front().head.seq <= seq)
-      under_way_.pop_front();
+  /// Newer rows replace older ones of the same key.
+  void remember(std::vector<StateRow> rows) {
+    for (StateRow& row : rows) {
+      std::string const key = row.key;
+      unwritten_rows_[key] = std::move(row);
+    }
+  }
+  void on_written(u64 seq) {
+    written_ = seq;
+    while (!in_flight_.empty() && in_flight_.front().head.seq <= seq)
+      in_flight_.pop_front();
   }
-  void failed(u64 seq) {
-    // One that rests on a failed one was given up with it; what came after stands.
-    if (std::none_of(under_way_.begin(), under_way_.end(), [&](VoteWrite const& w) { return w.head.seq == seq; }))
+  void on_failed(u64 seq) {
+    // A vote on top of a failed one was given up with it; votes handed in since then are not affected.
+    if (std::none_of(in_flight_.begin(), in_flight_.end(), [&](VoteWrite const& w) { return w.head.seq == seq; }))
       return;
-    // Newer rows come later and hold.
-    for (VoteWrite& w : under_way_)
-      for (StateRow& r : w.rows) {
-        std::string const k = r.key;
-        dirty_[k] = std::move(r);
-      }
-    under_way_.clear();
+    for (VoteWrite& vote : in_flight_)
+      remember(std::move(vote.rows));
+    in_flight_.clear();
   }
 
-  D& d_;
-  u64 sure_, last_;
-  std::deque<VoteWrite> under_way_;
-  std::map<std::string, StateRow> dirty_;
+  Disk& disk_;
+  u64 written_, last_;
+  std::deque<VoteWrite> in_flight_;
+  std::map<std::string, StateRow> unwritten_rows_;  // by key
 };
 
 }  // namespace dockbend
--- a/packages/consensus/state_chunk.cpp
+++ b/packages/consensus/state_chunk.cpp
@@ -1,71 +1,93 @@
 #include "consensus/state_chunk.hpp"
 
-#include <algorithm>
+#include "item_order.hpp"
 
 namespace dockbend {
+namespace {
+/// What an item needs besides its key and body.
+std::size_t constexpr kItemOverheadBytes = 16;
 
-StateChunk piece_of(ReplicatedState const& s, RowChecksum sum, Ballot have, std::string const& after,
-                    std::function<std::optional<StateDelta>(Ballot)> const& since, std::size_t most) {
-  StateChunk p;
-  p.sum = sum.sum;
-  p.count = sum.count;
-  p.part.ballot = s.ballot;
-  p.part.epoch = s.epoch;
-  p.part.open = s.open;
-  p.part.to_fix = s.to_fix;
-  p.part.evacuations = s.evacuations;
-  p.part.membership = s.membership;
-  p.part.previous_membership = s.previous_membership;
-  p.part.largest_membership = s.largest_membership;
-  p.part.retired = s.retired;
-  p.part.duties = s.duties;
-  p.part.fixed = s.fixed;
-  p.part.passes = s.passes;
-  p.part.units = s.units;
-  if (have == s.ballot && have != Ballot(0)) {
-    p.base = have;
-  } else if (have != Ballot(0)) {
-    if (auto const d = since(have)) {
-      p.base = have;
-      for (ConfigItem const& i : d->items)
-        if (i.key <= after) p.part.items.push_back(i);
-    }
+ReplicatedState without_items(ReplicatedState const& state) {
+  ReplicatedState copy;
+  copy.ballot = state.ballot;
+  copy.epoch = state.epoch;
+  copy.open = state.open;
+  copy.to_fix = state.to_fix;
+  copy.evacuations = state.evacuations;
+  copy.membership = state.membership;
+  copy.previous_membership = state.previous_membership;
+  copy.largest_membership = state.largest_membership;
+  copy.retired = state.retired;
+  copy.duties = state.duties;
+  copy.fixed = state.fixed;
+  copy.passes = state.passes;
+  copy.units = state.units;
+  return copy;
+}
+
+/// If what the receiver has is of use: names it as the chunk's base, and adds what changed of it.
+void continue_from(StateChunk& chunk, Ballot have, std::string const& after, ChangesSince const& changes_since) {
+  if (have == Ballot(0)) return;
+  if (have != chunk.part.ballot) {
+    auto const delta = changes_since(have);
+    if (!delta) return;
+    for (ConfigItem const& item : delta->items)
+      if (item.key <= after) chunk.part.items.push_back(item);
   }
-  if (p.base != Ballot(0)) p.after = after;
-  p.upto = p.after;
+  chunk.base = have;
+  chunk.after = after;
+}
+}  // namespace
+
+StateChunk piece_of(ReplicatedState const& state, RowChecksum checksum, Ballot have, std::string const& after,
+                    ChangesSince const& changes_since, std::size_t most_bytes) {
+  StateChunk chunk;
+  chunk.sum = checksum.sum;
+  chunk.count = checksum.count;
+  chunk.part = without_items(state);
+  continue_from(chunk, have, after, changes_since);
+  chunk.upto = chunk.after;
   std::size_t bytes = 0;
-  auto const by_key = [](std::string const& k, ConfigItem const& i) { return k < i.key; };
-  auto it = p.base == Ballot(0) ? s.items.begin() : std::upper_bound(s.items.begin(), s.items.end(), p.after, by_key);
-  for (; it != s.items.end() && bytes < most; ++it) {
-    bytes += it->key.size() + it->body.size() + 16;
-    p.upto = it->key;
-    p.part.items.push_back(*it);
+  auto item = chunk.base == Ballot(0)
+                  ? state.items.begin()
+                  : std::upper_bound(state.items.begin(), state.items.end(), chunk.after,
+                                     [](std::string const& key, ConfigItem const& i) { return key < i.key; });
+  for (; item != state.items.end() && bytes < most_bytes; ++item) {
+    bytes += item->key.size() + item->body.size() + kItemOverheadBytes;
+    chunk.upto = item->key;
+    chunk.part.items.push_back(*item);
   }
-  p.last = it == s.items.end();
-  return p;
+  chunk.last = item == state.items.end();
+  return chunk;
 }
 
-ChunkAssembler::Took ChunkAssembler::take(StateChunk const& p) {
-  if (p.base == Ballot(0)) {
-    if (have_ != Ballot(0) && p.part.ballot <= have_) return {};  // several were asked for the first
-    items_.clear();
-  } else if (p.base != have_ || p.after != after_) {
-    return {};  // sent twice, or for another place than ours
-  }
-  for (ConfigItem const& i : p.part.items)
-    items_[i.key] = i;
-  have_ = p.part.ballot;
-  after_ = p.upto;
-  if (!p.last) return {true, std::nullopt};
-  ReplicatedState s = p.part;
-  s.items.clear();
-  for (auto const& [k, i] : items_)
-    s.items.push_back(i);
+bool ChunkAssembler::is_next(StateChunk const& chunk) const {
+  // Several members may have been asked for the first chunk; an older value's first chunk is of no use.
+  if (chunk.base == Ballot(0)) return have_ == Ballot(0) || chunk.part.ballot > have_;
+  return chunk.base == have_ && chunk.after == after_;  // else it came twice, or is for another position
+}
+
+ChunkAssembler::Took ChunkAssembler::take(StateChunk const& chunk) {
+  if (!is_next(chunk)) return {};
+  if (chunk.base == Ballot(0)) items_.clear();
+  for (ConfigItem const& item : chunk.part.items)
+    items_[item.key] = item;
+  have_ = chunk.part.ballot;
+  after_ = chunk.upto;
+  if (!chunk.last) return {true, std::nullopt};
+  return {true, finish(chunk)};
+}
+
+std::optional<ReplicatedState> ChunkAssembler::finish(StateChunk const& last) {
+  ReplicatedState state = last.part;
+  state.items.clear();
+  for (auto const& [key, item] : items_)
+    state.items.push_back(item);
   items_.clear();
   have_ = Ballot();
   after_.clear();
-  if (!(rows_between(nullptr, s).sum == RowChecksum{p.sum, p.count})) return {true, std::nullopt};
-  return {true, std::move(s)};
+  if (!(rows_between(nullptr, state).sum == RowChecksum{last.sum, last.count})) return std::nullopt;
+  return state;
 }
 
 }  // namespace dockbend
