--- a/packages/consensus/change_history.cpp
+++ b/packages/consensus/change_history.cpp
@@ -27,14 +27,14 @@
   if (kind_of(row.key) == RowKind::item) return true;
   if (kind_of(row.key) != RowKind::drain_unit) return false;
   return std::any_of(now.passes.begin(), now.passes.end(), [&](DrainRun const& run) {
-    std::string const run_digits = unit_row_pass(run.id);
+    std::string const run_digits = drain_run_digits(run.id);
     return run.state != DrainRunState::aborted && run.state != DrainRunState::done &&
            row.key.compare(kRowPrefixLength, run_digits.size(), run_digits) == 0;
   });
 }
 }  // namespace
 
-void ChangeHistory::moved(std::vector<StateRow> const& rows, ReplicatedState const& now) {
+void ChangeHistory::record(std::vector<StateRow> const& rows, ReplicatedState const& now) {
   // Only a value that was never committed had what is now gone; the history begins anew.
   if (std::any_of(rows.begin(), rows.end(), [&](StateRow const& row) { return is_inexpressible(row, now); })) {
     ballots_.clear();
@@ -72,7 +72,7 @@
   add_changed_lists(delta, now);
   add_changed_items(delta, now);
   for (DrainUnit const& unit : now.units)
-    if (has_changed_after(have, unit_row(unit))) delta.units.push_back(unit);
+    if (has_changed_after(have, drain_unit_row_key(unit))) delta.units.push_back(unit);
   return delta;
 }
 
--- a/packages/consensus/failure_margin.cpp
+++ b/packages/consensus/failure_margin.cpp
@@ -27,7 +27,7 @@
 /// Why the rules of the membership itself forbid the removal.
 std::string why_not_dismissed(ReplicatedState const& state) {
   if (state.membership.size() < 2) return "it is the last member";
-  if (!state.may_shrink_to(state.membership.size() - 1))
+  if (!state.can_shrink_to(state.membership.size() - 1))
     return "keys won while there were " +
            std::to_string(std::max<std::size_t>(state.largest_membership, state.membership.size())) +
            " members still bind; later it may go";
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-FailureMargin margin_of(ReplicatedState const& state, FailureTolerance const& tolerance) {
+FailureMargin failure_margin(ReplicatedState const& state, FailureTolerance const& tolerance) {
   auto const complete = std::count_if(state.membership.begin(), state.membership.end(),
                                       [](Member const& member) { return member.whole; });
   long const spare = static_cast<long>(complete) - static_cast<long>(state.majority());
@@ -55,12 +55,12 @@
   return margin;
 }
 
-std::string why_not(ReplicatedState const& state, std::string const& ip, FailureTolerance const& tolerance) {
+std::string why_not_removable(ReplicatedState const& state, std::string const& ip, FailureTolerance const& tolerance) {
   Member const* const member = state.member(ip);
   if (member == nullptr) return "no such member: " + ip;
   ReplicatedState after = state;
-  if (!after.dismiss(ip, member->incarnation)) return why_not_dismissed(state);
-  FailureMargin const now = margin_of(state, tolerance), then = margin_of(after, tolerance);
+  if (!after.remove_member(ip, member->incarnation)) return why_not_dismissed(state);
+  FailureMargin const now = failure_margin(state, tolerance), then = failure_margin(after, tolerance);
   auto const reason = [&](u32 lost, char const* noun) {
     return "without it the loss of " + counted(lost, noun) + " would leave no majority of the " +
            std::to_string(after.membership.size()) + " others";
@@ -71,13 +71,13 @@
   return "";
 }
 
-bool take_out(ReplicatedState& state, std::string const& ip, Incarnation incarnation, FailureTolerance const& tolerance,
-              std::string& why) {
+bool remove_if_harmless(ReplicatedState& state, std::string const& ip, Incarnation incarnation,
+                        FailureTolerance const& tolerance, std::string& why) {
   why.clear();
   Member const* const member = state.member(ip);
   if (member == nullptr || member->incarnation != incarnation) return false;
-  why = why_not(state, ip, tolerance);
-  return why.empty() && state.dismiss(ip, incarnation);
+  why = why_not_removable(state, ip, tolerance);
+  return why.empty() && state.remove_member(ip, incarnation);
 }
 
 }  // namespace dockbend
--- a/packages/consensus/include/consensus/change_history.hpp
+++ b/packages/consensus/include/consensus/change_history.hpp
@@ -19,7 +19,7 @@
 class ChangeHistory {
  public:
   /// The value `now` was made from the one before it by these rows.
-  void moved(std::vector<StateRow> const& rows, ReplicatedState const& now);
+  void record(std::vector<StateRow> const& rows, ReplicatedState const& now);
   /// What leads from the value of `have` to `now`; none if that value was not held here, or too long ago.
   std::optional<StateDelta> since(Ballot have, ReplicatedState const& now) const;
 
--- a/packages/consensus/include/consensus/failure_margin.hpp
+++ b/packages/consensus/include/consensus/failure_margin.hpp
@@ -16,14 +16,14 @@
 struct FailureMargin {
   long machines = 0, zones = 0, regions = 0;
 };
-FailureMargin margin_of(ReplicatedState const& state, FailureTolerance const& tolerance);
+FailureMargin failure_margin(ReplicatedState const& state, FailureTolerance const& tolerance);
 
 /// Why that member, though alive, must not be removed; empty if it may.
-std::string why_not(ReplicatedState const& state, std::string const& ip, FailureTolerance const& tolerance);
+std::string why_not_removable(ReplicatedState const& state, std::string const& ip, FailureTolerance const& tolerance);
 
 /// Removes a member that is alive, if that does no harm; `why` says what prevents it. If the member is gone already
 /// (the command was repeated), false with an empty `why`.
-bool take_out(ReplicatedState& state, std::string const& ip, Incarnation incarnation, FailureTolerance const& tolerance,
-              std::string& why);
+bool remove_if_harmless(ReplicatedState& state, std::string const& ip, Incarnation incarnation,
+                        FailureTolerance const& tolerance, std::string& why);
 
 }  // namespace dockbend
--- a/packages/consensus/include/consensus/replicated_state.hpp
+++ b/packages/consensus/include/consensus/replicated_state.hpp
@@ -45,7 +45,7 @@
   /// Is this value committed, if exactly the disks for which on_disk(member) is true hold it? While a membership
   /// change is not known to be committed, that takes a majority of both memberships.
   template <class OnDisk>
-  bool stands(OnDisk on_disk) const {
+  bool is_held_by_quorum(OnDisk on_disk) const {
     auto const on_majority = [&](std::vector<Member> const& members) {
       return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), on_disk)) > members.size() / 2;
     };
@@ -58,16 +58,16 @@
   bool admit(Member const& candidate);
   /// Removes that disk. False if it is no member in that incarnation, or if too few disks that vote on keys would be
   /// left. The caller has already checked that the failure tolerance allows it.
-  bool dismiss(std::string const& ip, Incarnation incarnation);
+  bool remove_member(std::string const& ip, Incarnation incarnation);
   /// May the next membership have `size` disks? A key claimed under the largest membership is on all complete disks
   /// except at most ceil(largest/2)-1; no majority of the next membership may consist of those exceptions alone.
-  bool may_shrink_to(std::size_t size) const;
+  bool can_shrink_to(std::size_t size) const;
 };
 
 /// The part that proxies and agents use, under the ballot that last changed it: without lease renewals and reports.
 ReplicatedState view_of(ReplicatedState const& state);
 /// Would proxies and agents see the same in both?
-bool same_view(ReplicatedState const& a, ReplicatedState const& b);
+bool is_same_view(ReplicatedState const& a, ReplicatedState const& b);
 
 /// No round has a ballot above this one. A garbled message that named a larger one would leave no number for the next
 /// round, and the group could never commit again.
--- a/packages/consensus/include/consensus/round_timeout.hpp
+++ b/packages/consensus/include/consensus/round_timeout.hpp
@@ -20,7 +20,7 @@
   /// A new round begins: what was asked before is no longer waited for.
   void begin();
   /// How long after its begin the round is abandoned; the other members' majority should have answered by then.
-  Seconds of(std::vector<std::string> const& others) const;
+  Seconds timeout(std::vector<std::string> const& others) const;
 
  private:
   struct Link {
--- a/packages/consensus/include/consensus/state_chunk.hpp
+++ b/packages/consensus/include/consensus/state_chunk.hpp
@@ -25,20 +25,21 @@
 
 /// The next chunk for a receiver that has the items up to key `after` of the value of `have`. most_bytes: an estimate
 /// of its items' size; the item that reaches it is the last.
-StateChunk piece_of(ReplicatedState const& state, RowChecksum checksum, Ballot have, std::string const& after,
-                    ChangesSince const& changes_since, std::size_t most_bytes);
+StateChunk next_chunk(ReplicatedState const& state, RowChecksum checksum, Ballot have, std::string const& after,
+                      ChangesSince const& changes_since, std::size_t most_bytes);
 
 /// Receives chunks. Invariant: items_ are the items up to key after_ of the value of have_.
 class ChunkAssembler {
  public:
   Ballot have() const { return have_; }
   std::string const& after() const { return after_; }
-  struct Took {
-    bool used = false;  ///< it was the next chunk; ask for another
+  /// What became of a chunk.
+  struct Result {
+    bool is_used = false;  ///< it was the next chunk; ask for another
     /// Set once all chunks are here and the rows have the checksum; if they do not, the transfer begins again.
-    std::optional<ReplicatedState> whole;
+    std::optional<ReplicatedState> complete;
   };
-  Took take(StateChunk const& chunk);
+  Result take(StateChunk const& chunk);
 
  private:
   bool is_next(StateChunk const& chunk) const;
--- a/packages/consensus/include/consensus/state_delta.hpp
+++ b/packages/consensus/include/consensus/state_delta.hpp
@@ -23,7 +23,7 @@
 StateDelta read_delta(std::string_view bytes);
 StateDelta delta_of(ReplicatedState const& from, ReplicatedState const& to);
 /// The delta that does first `first`, then `second`, whose base is the ballot of `first`.
-StateDelta joined(StateDelta first, StateDelta const& second);
+StateDelta join_deltas(StateDelta first, StateDelta const& second);
 /// Changes `state`; false (and no change) unless `state` is the delta's base.
 bool apply(ReplicatedState& state, StateDelta const& delta);
 
--- a/packages/consensus/include/consensus/state_rows.hpp
+++ b/packages/consensus/include/consensus/state_rows.hpp
@@ -21,22 +21,23 @@
 /// - `seq` rises with every vote written in this incarnation;
 /// - promised >= ballot.
 struct VoteHeader {
-  DB_RECORD(VoteHeader, (Incarnation, incarnation), (Ballot, promised), (bool, has), (Ballot, ballot), (Epoch, epoch),
-            (Ballot, open), (u64, to_fix), (u64, sum), (u64, count), (u64, seq), (u32, largest_membership));
+  DB_RECORD(VoteHeader, (Incarnation, incarnation), (Ballot, promised), (bool, has_value), (Ballot, ballot),
+            (Epoch, epoch), (Ballot, open), (u64, to_fix), (u64, sum), (u64, count), (u64, seq),
+            (u32, largest_membership));
 };
 
 /// A checksum over rows in any order: the sum of the rows' hashes (it wraps) and their number.
 struct RowChecksum {
   u64 sum = 0, count = 0;
   void add(StateRow const& row);
-  void drop(StateRow const& row);
+  void remove(StateRow const& row);
   friend bool operator==(RowChecksum const&, RowChecksum const&) = default;
 };
 
 /// The rows to write and delete so that one value becomes another.
 struct RowDiff {
   std::vector<StateRow> rows;
-  RowChecksum sum;  ///< to be added to the checksum of the old value; wraps
+  RowChecksum checksum;  ///< to be added to the checksum of the old value; wraps
 };
 
 std::vector<StateRow> rows_of(ReplicatedState const& state);
@@ -46,11 +47,11 @@
 /// not the delta's base.
 std::optional<RowDiff> apply_rows(ReplicatedState& state, StateDelta const& delta);
 /// The value that header and rows make. Throws codec::MalformedMessage unless the rows are all of it and no others.
-ReplicatedState value_of(VoteHeader const& header, std::vector<StateRow> const& rows);
+ReplicatedState value_from_rows(VoteHeader const& header, std::vector<StateRow> const& rows);
 
 /// The key of a drain unit's row, and the part of it that names the drain run.
-std::string unit_row(DrainUnit const& unit);
-std::string unit_row_pass(u64 run);
+std::string drain_unit_row_key(DrainUnit const& unit);
+std::string drain_run_digits(u64 run);
 
 /// A record with its hash in front, for what is read back alone.
 std::string sealed(std::string const& body);
--- a/packages/consensus/include/consensus/vote_writer.hpp
+++ b/packages/consensus/include/consensus/vote_writer.hpp
@@ -55,7 +55,7 @@
       done(is_written);
     });
   }
-  bool idle() const { return in_flight_.empty(); }
+  bool is_idle() const { return in_flight_.empty(); }
 
  private:
   /// Newer rows replace older ones of the same key.
--- a/packages/consensus/proposer.cpp
+++ b/packages/consensus/proposer.cpp
@@ -5,222 +5,227 @@
 
 namespace dockbend {
 namespace {
-std::string id_of(std::string const& ip, Incarnation l) {
-  return ip + "/" + std::to_string(l.v);
+std::string disk_name(std::string const& ip, Incarnation incarnation) {
+  return ip + "/" + std::to_string(incarnation.v);
 }
-std::string id_of(Member const& m) {
-  return id_of(m.ip, m.incarnation);
+std::string disk_name(Member const& member) {
+  return disk_name(member.ip, member.incarnation);
 }
-u64 ip_num(std::string const& ip) {
+
+u64 ipv4_number(std::string const& ip) {
   unsigned a = 0, b = 0, c = 0, d = 0;
   std::sscanf(ip.c_str(), "%u.%u.%u.%u", &a, &b, &c, &d);
   return static_cast<u64>(a) << 24 | b << 16 | c << 8 | d;
 }
-// Does a majority of who decides about s say so? alone: its step is known to be won.
-bool has_quorum(ReplicatedState const& s, std::set<std::string> const& who, bool alone) {
-  auto said = [&](Member const& m) { return who.count(id_of(m)) > 0; };
-  if (!alone) return s.stands(said);
-  return static_cast<std::size_t>(std::count_if(s.membership.begin(), s.membership.end(), said)) >= s.majority();
+
+/// Have enough of the value's voters voted? Its previous membership counts too, unless the membership change is known
+/// to be committed.
+bool has_quorum(ReplicatedState const& value, std::set<std::string> const& voted, bool is_membership_committed) {
+  auto const has_voted = [&](Member const& member) { return voted.contains(disk_name(member)); };
+  if (!is_membership_committed) return value.is_held_by_quorum(has_voted);
+  auto const votes = std::count_if(value.membership.begin(), value.membership.end(), has_voted);
+  return static_cast<std::size_t>(votes) >= value.majority();
 }
 }  // namespace
 
-Proposer::Proposer(std::string const& my_ip, Leads leads) : node_(ip_num(my_ip)), leads_(std::move(leads)) {}
+Proposer::Proposer(std::string const& own_ip, FindDelta find_delta)
+    : node_(ipv4_number(own_ip)), find_delta_(std::move(find_delta)) {}
 
-std::vector<Proposer::Out> Proposer::begin(ReplicatedState const& best, Change change, Seconds now,
-                                           std::optional<Epoch> known) {
-  best_ = best;
-  known_ = known;
-  first_.reset();
+Proposer::Messages Proposer::begin_round(ReplicatedState const& newest, Change change, Seconds now,
+                                         std::optional<Epoch> committed_epoch) {
+  base_ = newest;
+  committed_epoch_ = committed_epoch;
+  announced_.reset();
   change_ = std::move(change);
-  saw(best.ballot);
-  bal_ = Ballot(++counter_ << 32 | node_);
+  observe_ballot(newest.ballot);
+  ballot_ = Ballot(++counter_ << kNodeBits | node_);
   phase_ = Phase::preparing;
-  done_ = won_ = false;
-  since_ = now;
+  is_over_ = is_committed_ = false;
+  began_at_ = now;
   asked_.clear();
   promised_.clear();
   accepted_.clear();
-  return ask_for_promises();
-}
-
-std::vector<Proposer::Out> Proposer::ask_for_promises() {
-  std::vector<Out> out;
-  for (auto const* l : {&best_.membership, &best_.previous_membership}) {
-    if (l == &best_.previous_membership && settled()) break;
-    for (Member const& m : *l) {
-      if (!asked_.insert(id_of(m)).second) continue;
-      Out o;
-      o.ip = m.ip;
-      o.prep = PrepareRequest{bal_, have(), m.incarnation};
-      out.push_back(std::move(o));
-    }
+  return send_prepares();
+}
+
+std::vector<Member> Proposer::voters() const {
+  std::vector<std::vector<Member> const*> memberships{&base_.membership};
+  if (!is_base_membership_committed()) memberships.push_back(&base_.previous_membership);
+  if (phase_ == Phase::accepting || is_committed_) memberships.push_back(&next_.membership);
+  std::vector<Member> disks;
+  std::set<std::string> names;
+  for (auto const* membership : memberships)
+    for (Member const& member : *membership)
+      if (names.insert(disk_name(member)).second) disks.push_back(member);
+  return disks;
+}
+
+Proposer::Messages Proposer::send_prepares() {
+  Messages messages;
+  for (Member const& member : voters())
+    if (asked_.insert(disk_name(member)).second)
+      messages.push_back({member.ip, PrepareRequest{ballot_, announced_ballot(), member.incarnation}});
+  return messages;
+}
+
+bool Proposer::has_newer_value(PrepareResponse const& response) const {
+  return (response.has_complete_state || !response.delta.empty()) && response.accepted > base_.ballot;
+}
+
+std::optional<ReplicatedState> Proposer::read_value(PrepareResponse const& response) const {
+  ReplicatedState value;
+  if (response.has_complete_state) {
+    value = read_state(response.state);
+  } else {
+    value = announced_ ? *announced_ : base_;
+    if (!apply(value, read_delta(response.delta))) return std::nullopt;
   }
-  return out;
-}
-
-std::vector<Proposer::Out> Proposer::on_prep(std::string const& from, PrepareResponse const& r) {
-  if (phase_ != Phase::preparing || r.ballot != bal_) return {};
-  check_ballot(r.promised);
-  saw(r.promised);
-  if (!r.ok) {
-    if (r.promised > bal_) {  // someone else is ahead: give way
-      phase_ = Phase::idle;
-      done_ = true;
-    }
+  if (value.ballot != response.accepted) throw codec::MalformedMessage("a value under another ballot");
+  return value;
+}
+
+Proposer::Messages Proposer::on_prepare_response(std::string const& from_ip, PrepareResponse const& response) {
+  if (phase_ != Phase::preparing || response.ballot != ballot_) return {};
+  check_ballot(response.promised);
+  observe_ballot(response.promised);
+  if (!response.is_promised) {
+    if (response.promised > ballot_) end_round(false);  // another proposer is ahead: give way
     return {};
   }
-  std::vector<Out> out;
-  if ((r.full || !r.delta.empty()) && r.accepted > best_.ballot) {
-    ReplicatedState s;
-    if (r.full) {
-      s = read_state(r.state);
-    } else {
-      s = first_ ? *first_ : best_;
-      if (!apply(s, read_delta(r.delta))) return {};  // not what we said that we have: no promise
-    }
-    if (s.ballot != r.accepted) throw codec::MalformedMessage("a value under another ballot");
-    if (s.ballot > best_.ballot) {
-      if (!first_) first_ = std::move(best_);
-      best_ = std::move(s);
-      out = ask_for_promises();
-    }
+  Messages messages;
+  if (has_newer_value(response)) {
+    std::optional<ReplicatedState> value = read_value(response);
+    if (!value) return {};
+    if (!announced_) announced_ = std::move(base_);
+    base_ = std::move(*value);
+    messages = send_prepares();
   }
-  promised_.insert(id_of(from, r.incarnation));  // only now: a promise whose value can't be read is none
-  if (has_quorum(best_, promised_, settled())) {
-    auto more = try_accept();
-    out.insert(out.end(), more.begin(), more.end());
+  promised_.insert(disk_name(from_ip, response.incarnation));  // only now: its value could be read
+  if (has_quorum(base_, promised_, is_base_membership_committed())) {
+    Messages accepts = send_accepts();
+    std::move(accepts.begin(), accepts.end(), std::back_inserter(messages));
   }
-  return out;
-}
-
-// Whose votes this round may need.
-std::vector<std::vector<Member> const*> Proposer::voters() const {
-  std::vector<std::vector<Member> const*> v{&best_.membership};
-  if (!settled()) v.push_back(&best_.previous_membership);
-  if (phase_ == Phase::accepting || won_) v.push_back(&next_.membership);
-  return v;
-}
-
-AcceptRequest Proposer::acc_for(Member const& m, bool full, Ballot have) const {
-  AcceptRequest a;
-  a.ballot = bal_;
-  a.incarnation = m.incarnation;
-  if (full && have != Ballot()) {
-    std::optional<StateDelta> d;
-    if (first_ && first_->ballot == have) {
-      // What we had ourselves; it may never have been won, and have what this value lacks, which
-      // a difference can't say.
-      d = delta_of(*first_, next_);
-      ReplicatedState s = *first_;
-      if (!apply(s, *d) || codec::pack(s) != codec::pack(next_)) d.reset();
-    }
-    if (!d && leads_ && !(d = leads_(have, bal_))) {
-      // Our own disk has not taken this value, but may have the one it is made of.
-      if ((d = leads_(have, best_.ballot))) d = joined(std::move(*d), delta_of(best_, next_));
-    }
-    if (d) {
-      a.delta = codec::pack(*d);
-      return a;
-    }
-  }
-  if (full || best_.ballot == Ballot(0))
-    a.state = codec::pack(next_);
-  else
-    a.delta = delta_;
-  return a;
+  return messages;
 }
 
-std::vector<Proposer::Out> Proposer::try_accept() {
-  next_ = best_;
-  if (settled()) {
+void Proposer::make_next_value() {
+  next_ = base_;
+  if (is_base_membership_committed()) {
     next_.previous_membership.clear();
     change_(next_);
   }
-  // Even with nothing to change, the value found is written again: only so is it
-  // known to be on a majority before anyone is told of it.
-  next_.ballot = bal_;
-  bool moved = next_.membership.size() != best_.membership.size();
-  for (Member& m : next_.membership) {
-    Member const* o = best_.member(m.ip);
-    if (o != nullptr && o->same_disk(m) && o->since == m.since) continue;
-    moved = true;
-    m.since = Epoch(bal_.v);
-  }
-  if (moved) {
-    next_.epoch = Epoch(bal_.v);
-    next_.previous_membership = best_.membership;
+  // Even with nothing to change, the value found is written again: only so is it known to be on a majority before
+  // anyone is told that it is.
+  next_.ballot = ballot_;
+  mark_membership_change();
+  if (!is_same_view(base_, next_)) next_.open = ballot_;
+}
+
+void Proposer::mark_membership_change() {
+  Epoch const epoch{ballot_.v};
+  bool has_changed = next_.membership.size() != base_.membership.size();
+  for (Member& member : next_.membership) {
+    Member const* const before = base_.member(member.ip);
+    if (before != nullptr && before->same_disk(member) && before->since == member.since) continue;
+    has_changed = true;
+    member.since = epoch;
   }
-  if (!same_view(best_, next_)) next_.open = bal_;
-  delta_ = best_.ballot == Ballot(0) ? std::string() : codec::pack(delta_of(best_, next_));
+  if (!has_changed) return;
+  next_.epoch = epoch;
+  next_.previous_membership = base_.membership;
+}
+
+Proposer::Messages Proposer::send_accepts() {
+  make_next_value();
+  delta_ = base_.ballot == Ballot(0) ? std::string() : codec::pack(delta_of(base_, next_));
   phase_ = Phase::accepting;
-  std::vector<Out> out;
-  std::set<std::string> sent;
-  auto ask = [&](std::vector<Member> const& l) {
-    for (Member const& m : l) {
-      if (!sent.insert(id_of(m)).second) continue;
-      Out o;
-      o.ip = m.ip;
-      o.is_prep = false;
-      o.acc = acc_for(m, false);
-      out.push_back(std::move(o));
-    }
-  };
-  for (auto const* l : voters())
-    ask(*l);
-  return out;
-}
-
-std::vector<Proposer::Out> Proposer::on_acc(std::string const& from, AcceptResponse const& r) {
-  if (r.ballot != bal_) return {};
-  // Who comes late to a round that is won is still told what it lacks.
-  if (phase_ != Phase::accepting && !(won_ && r.want_full)) return {};
-  check_ballot(r.promised);
-  saw(r.promised);
-  if (r.ok) {
-    accepted_.insert(id_of(from, r.incarnation));
-    if (has_quorum(best_, accepted_, settled()) && has_quorum(next_, accepted_, false)) {
-      phase_ = Phase::idle;
-      done_ = won_ = true;
-    }
-    return {};
+  Messages messages;
+  for (Member const& member : voters())
+    messages.push_back({member.ip, accept_request(member)});
+  return messages;
+}
+
+AcceptRequest Proposer::accept_request(Member const& member) const {
+  AcceptRequest request;
+  request.ballot = ballot_;
+  request.incarnation = member.incarnation;
+  if (base_.ballot == Ballot(0))
+    request.state = codec::pack(next_);
+  else
+    request.delta = delta_;
+  return request;
+}
+
+AcceptRequest Proposer::accept_request_for_lagging(Member const& member, Ballot have) const {
+  AcceptRequest request;
+  request.ballot = ballot_;
+  request.incarnation = member.incarnation;
+  if (auto const delta = delta_from(have))
+    request.delta = codec::pack(*delta);
+  else
+    request.state = codec::pack(next_);
+  return request;
+}
+
+std::optional<StateDelta> Proposer::delta_from(Ballot have) const {
+  if (have == Ballot()) return std::nullopt;
+  if (announced_ && announced_->ballot == have) {
+    // Our own earlier value may never have been committed, and have what this value lacks; a delta can't say that.
+    StateDelta delta = delta_of(*announced_, next_);
+    ReplicatedState value = *announced_;
+    if (apply(value, delta) && codec::pack(value) == codec::pack(next_)) return delta;
   }
-  if (r.want_full) {
-    for (auto const* l : voters())
-      for (Member const& m : *l)
-        if (m.ip == from && m.incarnation == r.incarnation) {
-          Out o;
-          o.ip = from;
-          o.is_prep = false;
-          o.acc = acc_for(m, true, r.have);
-          return {o};
-        }
+  if (!find_delta_) return std::nullopt;
+  if (auto delta = find_delta_(have, ballot_)) return delta;
+  // Our own disk has not taken this value, but may have the one that it is made from.
+  auto to_base = find_delta_(have, base_.ballot);
+  if (!to_base) return std::nullopt;
+  return join_deltas(std::move(*to_base), delta_of(base_, next_));
+}
+
+bool Proposer::has_quorum_of_accepts() const {
+  return has_quorum(base_, accepted_, is_base_membership_committed()) && has_quorum(next_, accepted_, false);
+}
+
+void Proposer::end_round(bool is_committed) {
+  phase_ = Phase::idle;
+  is_over_ = true;
+  is_committed_ = is_committed;
+}
+
+Proposer::Messages Proposer::on_accept_response(std::string const& from_ip, AcceptResponse const& response) {
+  if (response.ballot != ballot_) return {};
+  // A member that comes late to a committed round is still sent what it lacks.
+  if (phase_ != Phase::accepting && !(is_committed_ && response.needs_complete_state)) return {};
+  check_ballot(response.promised);
+  observe_ballot(response.promised);
+  if (response.is_accepted) {
+    accepted_.insert(disk_name(from_ip, response.incarnation));
+    if (has_quorum_of_accepts()) end_round(true);
     return {};
   }
-  if (r.promised > bal_) {
-    phase_ = Phase::idle;
-    done_ = true;  // lost; the value may or may not stand, the next round will see
+  if (response.needs_complete_state) {
+    for (Member const& member : voters())
+      if (member.ip == from_ip && member.incarnation == response.incarnation)
+        return {{from_ip, accept_request_for_lagging(member, response.have)}};
+    return {};
   }
+  // Whether the value stands after all, the next round will see.
+  if (response.promised > ballot_) end_round(false);
   return {};
 }
 
-std::vector<Proposer::Out> Proposer::resend(std::string const& ip) {
-  std::vector<Out> out;
-  if (phase_ == Phase::idle) return out;
-  std::set<std::string> sent;
-  for (auto const* l : voters()) {
-    for (Member const& m : *l) {
-      if (m.ip != ip || !sent.insert(id_of(m)).second) continue;
-      Out o;
-      o.ip = ip;
-      o.is_prep = phase_ == Phase::preparing;
-      if (o.is_prep)
-        o.prep = PrepareRequest{bal_, have(), m.incarnation};
-      else
-        o.acc = acc_for(m, true);
-      out.push_back(std::move(o));
-    }
+Proposer::Messages Proposer::resend_to(std::string const& ip) const {
+  Messages messages;
+  if (phase_ == Phase::idle) return messages;
+  for (Member const& member : voters()) {
+    if (member.ip != ip) continue;
+    if (phase_ == Phase::preparing)
+      messages.push_back({ip, PrepareRequest{ballot_, announced_ballot(), member.incarnation}});
+    else
+      messages.push_back({ip, accept_request_for_lagging(member, Ballot())});
   }
-  return out;
+  return messages;
 }
 
 }  // namespace dockbend
--- a/packages/consensus/replicated_state.cpp
+++ b/packages/consensus/replicated_state.cpp
@@ -81,16 +81,16 @@
   return true;
 }
 
-bool ReplicatedState::may_shrink_to(std::size_t size) const {
+bool ReplicatedState::can_shrink_to(std::size_t size) const {
   std::size_t const largest = std::max<std::size_t>(largest_membership, membership.size());
   return size > 0 && (largest + 1) / 2 - 1 < size / 2 + 1;
 }
 
-bool ReplicatedState::dismiss(std::string const& ip, Incarnation incarnation) {
+bool ReplicatedState::remove_member(std::string const& ip, Incarnation incarnation) {
   Member const* const leaving = member(ip);
   if (leaving == nullptr || leaving->incarnation != incarnation) return false;
   std::size_t const size = membership.size() - 1;
-  if (count_complete_except(membership, ip) < size / 2 + 1 || !may_shrink_to(size)) return false;
+  if (count_complete_except(membership, ip) < size / 2 + 1 || !can_shrink_to(size)) return false;
   largest_membership = std::max(largest_membership, static_cast<u32>(membership.size()));
   std::erase_if(membership, [&](Member const& m) { return m.ip == ip; });
   return true;
@@ -108,7 +108,7 @@
   return view;
 }
 
-bool same_view(ReplicatedState const& a, ReplicatedState const& b) {
+bool is_same_view(ReplicatedState const& a, ReplicatedState const& b) {
   return a.epoch == b.epoch && a.to_fix == b.to_fix && are_same(a.evacuations, b.evacuations) &&
          a.membership == b.membership && without_renewals(a.duties) == without_renewals(b.duties) && a.items == b.items;
 }
--- a/packages/consensus/round_timeout.cpp
+++ b/packages/consensus/round_timeout.cpp
@@ -56,7 +56,7 @@
   return kAnswerFactor * to.answer + kTransferFactor * static_cast<double>(to.asked_bytes) / to.bytes_per_s;
 }
 
-Seconds RoundTimeout::of(std::vector<std::string> const& others) const {
+Seconds RoundTimeout::timeout(std::vector<std::string> const& others) const {
   if (others.empty()) return kLeastTimeout;
   std::vector<Seconds> expected;
   for (std::string const& ip : others)
--- a/packages/consensus/row_codecs.hpp
+++ b/packages/consensus/row_codecs.hpp
@@ -108,7 +108,7 @@
 };
 
 struct DrainUnitRows {
-  static std::string key(DrainUnit const& unit) { return unit_row(unit); }
+  static std::string key(DrainUnit const& unit) { return drain_unit_row_key(unit); }
   static StateRow row(DrainUnit const& unit, std::size_t position) { return positioned_row(key(unit), unit, position); }
 };
 
--- a/packages/consensus/state_chunk.cpp
+++ b/packages/consensus/state_chunk.cpp
@@ -39,8 +39,8 @@
 }
 }  // namespace
 
-StateChunk piece_of(ReplicatedState const& state, RowChecksum checksum, Ballot have, std::string const& after,
-                    ChangesSince const& changes_since, std::size_t most_bytes) {
+StateChunk next_chunk(ReplicatedState const& state, RowChecksum checksum, Ballot have, std::string const& after,
+                      ChangesSince const& changes_since, std::size_t most_bytes) {
   StateChunk chunk;
   chunk.sum = checksum.sum;
   chunk.count = checksum.count;
@@ -67,7 +67,7 @@
   return chunk.base == have_ && chunk.after == after_;  // else it came twice, or is for another position
 }
 
-ChunkAssembler::Took ChunkAssembler::take(StateChunk const& chunk) {
+ChunkAssembler::Result ChunkAssembler::take(StateChunk const& chunk) {
   if (!is_next(chunk)) return {};
   if (chunk.base == Ballot(0)) items_.clear();
   for (ConfigItem const& item : chunk.part.items)
@@ -86,7 +86,7 @@
   items_.clear();
   have_ = Ballot();
   after_.clear();
-  if (!(rows_between(nullptr, state).sum == RowChecksum{last.sum, last.count})) return std::nullopt;
+  if (!(rows_between(nullptr, state).checksum == RowChecksum{last.sum, last.count})) return std::nullopt;
   return state;
 }
 
--- a/packages/consensus/state_delta.cpp
+++ b/packages/consensus/state_delta.cpp
@@ -119,7 +119,7 @@
   return delta;
 }
 
-StateDelta joined(StateDelta first, StateDelta const& second) {
+StateDelta join_deltas(StateDelta first, StateDelta const& second) {
   first.ballot = second.ballot;
   first.epoch = second.epoch;
   first.open = second.open;
--- a/packages/consensus/state_rows.cpp
+++ b/packages/consensus/state_rows.cpp
@@ -15,13 +15,13 @@
 }
 
 void write_row(RowDiff& diff, StateRow row, StateRow const* replaced) {
-  if (replaced != nullptr) diff.sum.drop(*replaced);
-  diff.sum.add(row);
+  if (replaced != nullptr) diff.checksum.remove(*replaced);
+  diff.checksum.add(row);
   diff.rows.push_back(std::move(row));
 }
 
 void delete_row(RowDiff& diff, StateRow const& row) {
-  diff.sum.drop(row);
+  diff.checksum.remove(row);
   diff.rows.push_back(StateRow{row.key, "", true});
 }
 
@@ -129,11 +129,11 @@
   return text;
 }
 
-std::string unit_row_pass(u64 run) {
+std::string drain_run_digits(u64 run) {
   return digits(run);
 }
 
-std::string unit_row(DrainUnit const& unit) {
+std::string drain_unit_row_key(DrainUnit const& unit) {
   return row_key(RowKind::drain_unit, digits(unit.pass) + "/" + unit.name);
 }
 
@@ -142,7 +142,7 @@
   ++count;
 }
 
-void RowChecksum::drop(StateRow const& row) {
+void RowChecksum::remove(StateRow const& row) {
   sum -= hash_of(row);
   --count;
 }
--- a/packages/consensus/value_of_rows.cpp
+++ b/packages/consensus/value_of_rows.cpp
@@ -98,7 +98,7 @@
 }
 }  // namespace
 
-ReplicatedState value_of(VoteHeader const& header, std::vector<StateRow> const& rows) {
+ReplicatedState value_from_rows(VoteHeader const& header, std::vector<StateRow> const& rows) {
   RowChecksum checksum;
   for (StateRow const& row : rows)
     checksum.add(row);
--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -6,7 +6,7 @@
     : context_(h),
       proposer_(h.settings.ip,
                 [this](Ballot have, Ballot ballot) {
-                  return accepted() == ballot ? context_.acceptor->since(have) : std::nullopt;
+                  return accepted() == ballot ? context_.acceptor->changes_since(have) : std::nullopt;
                 }),
       patience_((h.settings.linkMbps > 0 ? h.settings.linkMbps : 10) * 1e6 / 8) {}
 
@@ -28,11 +28,11 @@
   bool const seed = std::any_of(context_.settings.seeds.begin(), context_.settings.seeds.end(),
                                 [&](Address const& a) { return a.ip == context_.settings.ip; });
   // An empty disk is a new member, unless the system itself begins here.
-  bool const founder = d.fresh && context_.settings.bootstrap && seed;
+  bool const founder = d.is_fresh && context_.settings.bootstrap && seed;
   Incarnation const l = d.head ? d.head->incarnation : founder ? Incarnation(1) : Incarnation((random64() >> 2) | 2);
   bool const first = !d.head;
   if (first) d.keys_filled = founder ? 1 : 0;  // a founder is of membership 0
-  if (!d.value && d.fresh && context_.settings.bootstrap) {
+  if (!d.value && d.is_fresh && context_.settings.bootstrap) {
     ReplicatedState f;
     for (Address const& a : context_.settings.seeds) {
       Member m;
@@ -48,14 +48,15 @@
   // Only at the very first start is the founding value known to be the newest.
   if (first && d.value) context_.committed = d.value;
   context_.acceptor = std::make_unique<Acceptor>(l, d.head ? d.head->promised : Ballot(), d.value);
-  if (d.head) proposer_.saw(d.head->promised);
+  if (d.head) proposer_.observe_ballot(d.head->promised);
   if (!first && d.value) durable_ = d.value->ballot;
   writer_ = std::make_unique<VoteWriter<AsyncStore>>(*context_.disk, d.head ? d.head->seq : 0);
   if (!first) {
     context_.born = true;
     return d;
   }
-  if (founder) context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(d.keys_filled))});
+  if (founder)
+    context_.disk->submit_lazily({StoreOperation::put_meta("whole", DiskStore::complete_keys_word(d.keys_filled))});
   std::vector<StateRow> rows;
   if (d.value) rows = rows_of(*d.value);
   vote(std::move(rows), [this](bool ok) {
@@ -110,11 +111,11 @@
     return it != context_.controllers.end() && it->second.incarnation == x.incarnation &&
            it->second.accepted == s.ballot;
   };
-  if (s.stands(on_disk)) learn(ReplicatedState(s));
+  if (s.is_held_by_quorum(on_disk)) learn(ReplicatedState(s));
 }
 
 void ConsensusService::reached(std::string const& ip, PeerLink& l) {
-  for (auto& o : proposer_.resend(ip))
+  for (auto& o : proposer_.resend_to(ip))
     send_out(o);
   l.send(MessageType::catch_up_request, 0, lacks());
 }
@@ -132,30 +133,30 @@
 void ConsensusService::piece(std::string const& ip, StateChunk const& x, Seconds now) {
   if (x.part.ballot <= ballot()) return;
   check_ballot(x.part.ballot);
-  ChunkAssembler::Took const t = gather_.take(x);
-  if (t.whole) check_value(*t.whole);
-  if (t.whole) return learn(*t.whole);
-  if (!t.used) return;
+  ChunkAssembler::Result const t = gather_.take(x);
+  if (t.complete) check_value(*t.complete);
+  if (t.complete) return learn(*t.complete);
+  if (!t.is_used) return;
   piece_at_ = now;
   if (context_.controllers.count(ip) > 0 && context_.controllers[ip].link)
     context_.controllers[ip].link->send(MessageType::catch_up_request, 0, lacks());
 }
 
-void ConsensusService::on_prep(std::string const& ip, PrepareResponse const& r) {
+void ConsensusService::on_prepare_response(std::string const& ip, PrepareResponse const& r) {
   patience_.answered(ip, steady_now());
-  outs(proposer_.on_prep(ip, r));
+  outs(proposer_.on_prepare_response(ip, r));
 }
 
-void ConsensusService::on_acc(std::string const& ip, AcceptResponse const& r) {
+void ConsensusService::on_accept_response(std::string const& ip, AcceptResponse const& r) {
   patience_.answered(ip, steady_now());
-  outs(proposer_.on_acc(ip, r));
+  outs(proposer_.on_accept_response(ip, r));
 }
 
 void ConsensusService::prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now) {
   if (!context_.born) return;
   PrepareResponse r;
   Acceptor::PendingWrite s = context_.acceptor->prepare(q, r);
-  if (r.ok) give_way(r.ballot, now);
+  if (r.is_promised) give_way(r.ballot, now);
   reply_after(p.ch, MessageType::prepare_response, tag, r, std::move(s));
 }
 
@@ -173,20 +174,23 @@
     if (context_.view.ballot > have || context_.view.ballot.v == 0) p.ch->send(lacking(have));
     return;
   }
-  if (context_.committed->ballot < q.won || (context_.committed->ballot == q.won && context_.committed->ballot.v != 0))
+  if (context_.committed->ballot < q.committed ||
+      (context_.committed->ballot == q.committed && context_.committed->ballot.v != 0))
     return;
   CommitNotice c;
   c.ballot = context_.committed->ballot;
   // Who holds this value needs to hear only that it was won.
   if (have != c.ballot || have == Ballot(0)) {
-    std::optional<StateDelta> const d = accepted() == c.ballot ? context_.acceptor->since(have) : std::nullopt;
+    std::optional<StateDelta> const d = accepted() == c.ballot ? context_.acceptor->changes_since(have) : std::nullopt;
     if (d) {
       c.delta = codec::pack(*d);
     } else {
-      auto const since = [&](Ballot b) { return accepted() == c.ballot ? context_.acceptor->since(b) : std::nullopt; };
+      auto const since = [&](Ballot b) {
+        return accepted() == c.ballot ? context_.acceptor->changes_since(b) : std::nullopt;
+      };
       RowChecksum const sum =
-          accepted() == c.ballot ? context_.acceptor->sum() : rows_between(nullptr, *context_.committed).sum;
-      StateChunk const x = piece_of(*context_.committed, sum, q.part, q.after, since, piece_bytes);
+          accepted() == c.ballot ? context_.acceptor->checksum() : rows_between(nullptr, *context_.committed).checksum;
+      StateChunk const x = next_chunk(*context_.committed, sum, q.chunk_ballot, q.chunk_after, since, piece_bytes);
       if (x.base != Ballot(0) || !x.last) {
         p.ch->send(MessageType::state_chunk, 0, x);
         return;
@@ -261,7 +265,7 @@
 }
 
 void ConsensusService::tick(Seconds now) {
-  if (!proposer_.idle() && now - proposer_.since() > round_patience()) {
+  if (!proposer_.is_idle() && now - proposer_.began_at() > round_patience()) {
     proposer_.abandon();
     std::vector<Call> b;
     b.swap(batch_);
@@ -274,7 +278,7 @@
 void ConsensusService::finish(Seconds now) {
   if (context_.acceptor->state() && (!context_.committed || accepted() > ballot())) {
     if (finish_at_ == 0) finish_at_ = now + 0.8 + 0.8 * random01();
-    if (now > finish_at_ && calls_.empty() && proposer_.idle()) {
+    if (now > finish_at_ && calls_.empty() && proposer_.is_idle()) {
       finish_at_ = now + 1.0 + random01();
       submit([](ReplicatedState&) { return false; }, [](ReplicatedState const*) {}, 1.5);
     }
@@ -288,7 +292,7 @@
 }
 
 void ConsensusService::vote(std::vector<StateRow> rows, std::function<void(bool)> done) {
-  writer_->write(context_.acceptor->head(), std::move(rows), std::move(done));
+  writer_->write(context_.acceptor->vote_header(), std::move(rows), std::move(done));
 }
 
 ReplicatedState const* ConsensusService::best() const {
@@ -305,7 +309,7 @@
 
 void ConsensusService::pump() {
   Seconds const now = steady_now();
-  if (!proposer_.idle() || now < next_round_ || now < way_until_ || !context_.born) return;
+  if (!proposer_.is_idle() || now < next_round_ || now < way_until_ || !context_.born) return;
   while (!calls_.empty() && calls_.front().until < now) {
     Call const c = std::move(calls_.front());
     calls_.pop_front();
@@ -318,9 +322,9 @@
     batch_.push_back(std::move(calls_.front()));
     calls_.pop_front();
   }
-  proposer_.saw(context_.acceptor->promised());
+  proposer_.observe_ballot(context_.acceptor->promised());
   patience_.begin();
-  outs(proposer_.begin(
+  outs(proposer_.begin_round(
       *b,
       [this](ReplicatedState& s) {
         bool any = false;
@@ -335,58 +339,67 @@
   std::vector<std::string> v;
   for (Member const& m : proposer_.base().membership)
     if (m.ip != context_.settings.ip) v.push_back(m.ip);
-  return patience_.of(v);
+  return patience_.timeout(v);
 }
 
-void ConsensusService::outs(std::vector<Proposer::Out> const& v) {
+void ConsensusService::outs(Proposer::Messages const& v) {
   for (auto const& o : v)
     send_out(o);
   round_over();
 }
 
-void ConsensusService::send_out(Proposer::Out const& o) {
-  if (o.ip == context_.settings.ip) {
+void ConsensusService::send_out(OutgoingMessage const& message) {
+  auto const* const prepare = std::get_if<PrepareRequest>(&message.request);
+  auto const* const accept = std::get_if<AcceptRequest>(&message.request);
+  if (message.to_ip == context_.settings.ip) {
     if (!context_.born) return;
-    if (o.is_prep) {
-      PrepareResponse r;
-      Acceptor::PendingWrite s = context_.acceptor->prepare(o.prep, r);
-      if (!s.write) {
-        after(context_.loop, 0, [this, r] { outs(proposer_.on_prep(context_.settings.ip, r)); });
-        return;
-      }
-      vote(std::move(s.rows), [this, r](bool ok) {
-        if (ok) outs(proposer_.on_prep(context_.settings.ip, r));
-      });
-    } else {
-      AcceptResponse r;
-      Acceptor::PendingWrite s = context_.acceptor->accept(o.acc, r);
-      if (!s.write) {
-        after(context_.loop, 0, [this, r] { outs(proposer_.on_acc(context_.settings.ip, r)); });
-        return;
-      }
-      vote(std::move(s.rows), [this, r, b = accepted()](bool ok) {
-        if (!ok) return;
-        durable_ = std::max(durable_, b);
-        outs(proposer_.on_acc(context_.settings.ip, r));
-      });
-    }
+    if (prepare != nullptr)
+      prepare_here(*prepare);
+    else
+      accept_here(*accept);
     return;
   }
-  PeerController& m = context_.controller(o.ip);
-  if (!m.link) return;
-  patience_.asked(o.ip, o.acc.state.size() + o.acc.delta.size(), steady_now());
-  if (o.is_prep)
-    m.link->send(MessageType::prepare_request, 0, o.prep);
+  PeerController& peer = context_.controller(message.to_ip);
+  if (!peer.link) return;
+  patience_.asked(message.to_ip, accept == nullptr ? 0 : accept->state.size() + accept->delta.size(), steady_now());
+  if (prepare != nullptr)
+    peer.link->send(MessageType::prepare_request, 0, *prepare);
   else
-    m.link->send(MessageType::accept_request, 0, o.acc);
+    peer.link->send(MessageType::accept_request, 0, *accept);
+}
+
+void ConsensusService::prepare_here(PrepareRequest const& request) {
+  PrepareResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
+  if (!write.is_needed) {
+    after(context_.loop, 0, [this, response] { outs(proposer_.on_prepare_response(context_.settings.ip, response)); });
+    return;
+  }
+  vote(std::move(write.rows), [this, response](bool is_written) {
+    if (is_written) outs(proposer_.on_prepare_response(context_.settings.ip, response));
+  });
+}
+
+void ConsensusService::accept_here(AcceptRequest const& request) {
+  AcceptResponse response;
+  Acceptor::PendingWrite write = context_.acceptor->accept(request, response);
+  if (!write.is_needed) {
+    after(context_.loop, 0, [this, response] { outs(proposer_.on_accept_response(context_.settings.ip, response)); });
+    return;
+  }
+  vote(std::move(write.rows), [this, response, ballot = accepted()](bool is_written) {
+    if (!is_written) return;
+    durable_ = std::max(durable_, ballot);
+    outs(proposer_.on_accept_response(context_.settings.ip, response));
+  });
 }
 
 void ConsensusService::round_over() {
-  if (!proposer_.done() || batch_.empty()) return;
+  if (!proposer_.is_over() || batch_.empty()) return;
   std::vector<Call> b;
   b.swap(batch_);
   Seconds const now = steady_now();
-  if (proposer_.won()) {
+  if (proposer_.is_committed()) {
     ReplicatedState const from = proposer_.base();
     ReplicatedState const to = proposer_.value();
     losses_ = 0;
@@ -397,7 +410,7 @@
     for (auto& [ip, m] : context_.controllers)
       if (m.link) m.link->send(pc);
     learn(to);
-    if (proposer_.changed())
+    if (proposer_.has_applied_change())
       for (Call& x : b)
         x.done(&to);
     else  // another's step of the roster was brought to its end first
@@ -416,12 +429,12 @@
   if (context_.committed && s.ballot <= context_.committed->ballot) return;
   std::optional<ReplicatedState> const old = std::move(context_.committed);
   context_.committed = s;
-  proposer_.saw(s.ballot);
+  proposer_.observe_ballot(s.ballot);
   if (s.ballot >= way_for_ && way_until_ > 0) {
     way_until_ = 0;
     after(context_.loop, 0.02 * random01(), [this] { pump(); });
   }
-  if (Acceptor::PendingWrite w = context_.acceptor->learn(s))
+  if (Acceptor::PendingWrite w = context_.acceptor->learn(s); w.is_needed)
     vote(std::move(w.rows), [this, b = s.ballot](bool ok) {
       if (ok) durable_ = std::max(durable_, b);
     });
--- a/packages/controller/directory_service.cpp
+++ b/packages/controller/directory_service.cpp
@@ -113,7 +113,7 @@
   ++counts_turn_;
   StateUpdate w;
   w.sites = counted();
-  context_.disk->submit_lazy({AsyncStore::put_meta("sites", codec::pack(w))});
+  context_.disk->submit_lazily({StoreOperation::put_meta("sites", codec::pack(w))});
 }
 
 std::vector<ZoneProxyCount> DirectoryService::counted() const {
--- a/packages/controller/idempotency_service.cpp
+++ b/packages/controller/idempotency_service.cpp
@@ -27,12 +27,12 @@
   KeyBackfill::Progress const got =
       copying_.hear(ip, r, m == nullptr ? std::nullopt : std::optional<Incarnation>(m->incarnation), st.epoch,
                     st.majority(), ledger_, steady_now());
-  std::vector<AsyncStore::Op> ops;
+  std::vector<StoreOperation> ops;
   for (HeldKey const& k : got.put)
-    ops.push_back(key_op(k.key, k.holder, true));
+    ops.push_back(StoreOperation::put_key(k.key, k.holder, true));
   if (got.enough) {
     u64 const in = since_in(st);
-    ops.push_back(AsyncStore::put_meta("whole", DiskStore::whole_word(in)));
+    ops.push_back(StoreOperation::put_meta("whole", DiskStore::complete_keys_word(in)));
     filling_ = true;
     context_.disk->submit(std::move(ops), [this, in](bool ok) {
       filling_ = false;
@@ -67,37 +67,31 @@
     return;
   }
   std::weak_ptr<Connection> const w = ch;
-  context_.disk->submit({key_op(c.key, c.holder, false)}, [this, w, tag, r, key = c.key, holder = c.holder](bool ok) {
-    if (!ledger_.written(key, holder, ok)) return;
-    if (auto const cp = w.lock()) cp->send(MessageType::claim_response, tag, r);
-  });
+  context_.disk->submit({StoreOperation::put_key(c.key, c.holder, false)},
+                        [this, w, tag, r, key = c.key, holder = c.holder](bool ok) {
+                          if (!ledger_.written(key, holder, ok)) return;
+                          if (auto const cp = w.lock()) cp->send(MessageType::claim_response, tag, r);
+                        });
 }
 
 void IdempotencyService::store(std::string_view body, bool relay) {
   StoredAnswer const r = codec::unpack<StoredAnswer>(body);
   if (r.body.size() > 64 * 1024) return;
-  AsyncStore::Op o;
-  o.what = AsyncStore::Op::What::put_ret;
-  o.k = r.key;
-  o.v.assign(body);
-  context_.disk->submit_lazy({o});
+  context_.disk->submit_lazily({StoreOperation::put_answer(r.key, std::string(body))});
   Seconds const now = steady_now();
   ret_order_.push_back({r.key, now, body.size()});
   ret_bytes_ += body.size();
-  std::vector<AsyncStore::Op> old;
+  std::vector<StoreOperation> old;
   // Answers are a convenience, votes are not: answers give way long before the
   // disk is full.
   double const most = (context_.settings.diskMb > 0 ? context_.settings.diskMb : 256) * 0.3e6;
   while (!ret_order_.empty() && (now - ret_order_.front().at > context_.settings.bounds.keyHorizonS * 1.25 + 5 ||
                                  static_cast<double>(ret_bytes_) > most)) {
-    AsyncStore::Op d;
-    d.what = AsyncStore::Op::What::drop_ret;
-    d.k = ret_order_.front().key;
+    old.push_back(StoreOperation::delete_answer(ret_order_.front().key));
     ret_bytes_ -= ret_order_.front().bytes;
-    old.push_back(std::move(d));
     ret_order_.pop_front();
   }
-  if (!old.empty()) context_.disk->submit_lazy(std::move(old));
+  if (!old.empty()) context_.disk->submit_lazily(std::move(old));
   if (!relay || !context_.committed) return;
   Member const* best = nullptr;
   for (Member const& m : context_.committed->membership) {
@@ -109,8 +103,7 @@
   if (best != nullptr) context_.controllers[best->ip].link->ch()->send(MessageType::store_answer, 0, body);
 }
 
-void IdempotencyService::load(std::vector<StoredKey> const& keys,
-                              std::vector<std::pair<std::string, std::size_t>> const& rets) {
+void IdempotencyService::load(std::vector<StoredKey> const& keys, std::vector<StoredAnswerSize> const& rets) {
   Seconds const now = steady_now();
   for (StoredKey const& k : keys)
     ledger_.load(k.key, k.holder, k.sealed, now);
@@ -122,15 +115,12 @@
 
 void IdempotencyService::release(ReleaseRequest const& r) {
   if (!ledger_.release(r)) return;
-  AsyncStore::Op o;
-  o.what = AsyncStore::Op::What::drop_key;
-  o.k = r.key;
-  context_.disk->submit_lazy({o});
+  context_.disk->submit_lazily({StoreOperation::delete_key(r.key)});
 }
 
 void IdempotencyService::fetch(ConnectionPtr const& ch, u32 tag, FetchAnswerRequest const& f) {
   std::weak_ptr<Connection> const w = ch;
-  context_.disk->find_ret(f.key, [w, tag](std::string const& v) {
+  context_.disk->find_answer(f.key, [w, tag](std::string const& v) {
     FetchAnswerResponse r;
     r.have = !v.empty();
     r.ret = v;
@@ -157,7 +147,7 @@
   }
   for (int i = 0; i < 100 && hand_ix_ > 0; ++i) {
     Kept const& k = ret_order_[--hand_ix_];
-    context_.disk->find_ret(k.key, [this, ip](std::string const& v) {
+    context_.disk->find_answer(k.key, [this, ip](std::string const& v) {
       auto const it = context_.controllers.find(ip);
       if (!v.empty() && it != context_.controllers.end() && it->second.link && it->second.link->up())
         it->second.link->ch()->send(MessageType::store_answer, 0, std::string_view(v));
@@ -169,14 +159,10 @@
 void IdempotencyService::forget_old(Seconds now) {
   auto const old = ledger_.forget(context_.settings.bounds.keyHorizonS * 1.25 + 5, now, 200);
   if (old.empty()) return;
-  std::vector<AsyncStore::Op> ops;
-  for (std::string const& k : old) {
-    AsyncStore::Op o;
-    o.what = AsyncStore::Op::What::drop_key;
-    o.k = k;
-    ops.push_back(std::move(o));
-  }
-  context_.disk->submit_lazy(std::move(ops));
+  std::vector<StoreOperation> ops;
+  for (std::string const& k : old)
+    ops.push_back(StoreOperation::delete_key(k));
+  context_.disk->submit_lazily(std::move(ops));
 }
 
 KeyTable const& IdempotencyService::ledger() const {
@@ -196,13 +182,4 @@
   copying_.fit(since_in(*s), ledger_);
 }
 
-AsyncStore::Op IdempotencyService::key_op(std::string const& k, u64 holder, bool sealed) {
-  AsyncStore::Op o;
-  o.what = AsyncStore::Op::What::put_key;
-  o.k = k;
-  o.holder = holder;
-  o.sealed = sealed;
-  return o;
-}
-
 }  // namespace dockbend
--- a/packages/controller/include/controller/consensus_service.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -50,8 +50,8 @@
   void ahead(PeerController& m, Ballot b, Seconds now);
   // A piece of the value in force at a mate; the next is asked of the same one.
   void piece(std::string const& ip, StateChunk const& x, Seconds now);
-  void on_prep(std::string const& ip, PrepareResponse const& r);
-  void on_acc(std::string const& ip, AcceptResponse const& r);
+  void on_prepare_response(std::string const& ip, PrepareResponse const& r);
+  void on_accept_response(std::string const& ip, AcceptResponse const& r);
   void prep(InboundSession& p, u32 tag, PrepareRequest const& q, Seconds now);
   void acc(InboundSession& p, u32 tag, AcceptRequest const& a);
   void pull(InboundSession& p, CatchUpRequest const& q);
@@ -81,7 +81,7 @@
 
   template <class R>
   void reply_after(ConnectionPtr const& ch, MessageType k, u32 tag, R const& r, Acceptor::PendingWrite s) {
-    if (!s.write) {
+    if (!s.is_needed) {
       ch->send(k, tag, r);
       return;
     }
@@ -103,9 +103,13 @@
 
   Seconds round_patience() const;
 
-  void outs(std::vector<Proposer::Out> const& v);
+  void outs(Proposer::Messages const& v);
 
-  void send_out(Proposer::Out const& o);
+  void send_out(OutgoingMessage const& message);
+
+  // A request of our own proposer to our own acceptor.
+  void prepare_here(PrepareRequest const& request);
+  void accept_here(AcceptRequest const& request);
 
   void round_over();
 
--- a/packages/controller/include/controller/idempotency_service.hpp
+++ b/packages/controller/include/controller/idempotency_service.hpp
@@ -27,7 +27,7 @@
 
   sigc::signal<void()> on_whole;  // our disk votes on keys from now on
 
-  void load(std::vector<StoredKey> const& keys, std::vector<std::pair<std::string, std::size_t>> const& rets);
+  void load(std::vector<StoredKey> const& keys, std::vector<StoredAnswerSize> const& rets);
   void release(ReleaseRequest const& r);
   void fetch(ConnectionPtr const& ch, u32 tag, FetchAnswerRequest const& f);
   KeyCopyResponse copy_for(KeyCopyRequest const& q);
@@ -44,8 +44,6 @@
   // Whole is what was filled in this very membership.
   void fit(std::optional<ReplicatedState> const& s);
 
-  static AsyncStore::Op key_op(std::string const& k, u64 holder, bool sealed);
-
   struct Kept {
     std::string key;
     Seconds at = 0;
--- a/packages/controller/include/controller/membership_service.hpp
+++ b/packages/controller/include/controller/membership_service.hpp
@@ -2,7 +2,8 @@
 #pragma once
 #include <algorithm>
 
-#include "consensus/membership.hpp"
+#include "consensus/failure_margin.hpp"
+#include "consensus/membership_monitor.hpp"
 #include "controller/idempotency_service.hpp"
 
 namespace dockbend {
@@ -66,7 +67,7 @@
     w.Key("bears");
     w.StartObject();
     if (context_.committed) {
-      FailureMargin const m = margin_of(*context_.committed, tolerance());
+      FailureMargin const m = failure_margin(*context_.committed, tolerance());
       w.Key("machines");
       w.Bool(m.machines >= 0);
       w.Key("zones");
--- a/packages/controller/membership_service.cpp
+++ b/packages/controller/membership_service.cpp
@@ -119,7 +119,7 @@
         Member const* const by = s.member(x.by.ip);
         Member const* const m = s.member(x.gone.ip);
         *out = by != nullptr && by->whole && by->same_disk(x.by) && m != nullptr && m->since == x.gone.since &&
-               s.dismiss(x.gone.ip, x.gone.incarnation);
+               s.remove_member(x.gone.ip, x.gone.incarnation);
         return *out;
       },
       [this, x = *x, out](ReplicatedState const* s) {
@@ -158,7 +158,7 @@
       [ip = context_.settings.ip, incarnation = context_.acceptor->incarnation(), t = tolerance(), why,
        e = watch_.settled(now)](ReplicatedState& s) {
         forget_wider(s, e);
-        return take_out(s, ip, incarnation, t, *why);
+        return remove_if_harmless(s, ip, incarnation, t, *why);
       },
       [this, why](ReplicatedState const* s) {
         asking_ = false;
@@ -190,7 +190,7 @@
         RetiredMember x;
         x.ip = ip;
         x.incarnation = m->incarnation;
-        if (!take_out(s, ip, x.incarnation, t, o->why)) return false;
+        if (!remove_if_harmless(s, ip, x.incarnation, t, o->why)) return false;
         s.retired.push_back(x);
         while (s.retired.size() > most_retired)
           s.retired.erase(s.retired.begin());
--- a/packages/controller/outbound_peers.cpp
+++ b/packages/controller/outbound_peers.cpp
@@ -104,11 +104,11 @@
 }
 
 void OutboundPeers::on_prepare_response(Reply const& reply) {
-  services_.consensus.on_prep(reply.ip, reply.message.as<PrepareResponse>());
+  services_.consensus.on_prepare_response(reply.ip, reply.message.as<PrepareResponse>());
 }
 
 void OutboundPeers::on_accept_response(Reply const& reply) {
-  services_.consensus.on_acc(reply.ip, reply.message.as<AcceptResponse>());
+  services_.consensus.on_accept_response(reply.ip, reply.message.as<AcceptResponse>());
 }
 
 void OutboundPeers::on_catch_up_response(Reply const& reply) {
--- a/packages/controller/registry_service.cpp
+++ b/packages/controller/registry_service.cpp
@@ -8,15 +8,11 @@
   if (v.empty()) return;
   // On disk too, so that after a loss of all power the servers are known before
   // their next beats. Nobody waits for it: the beats set right what it lacks.
-  std::vector<AsyncStore::Op> ops;
-  for (ServerRecord const& r : v) {
-    AsyncStore::Op o;
-    o.what = r.state == ServerState::gone ? AsyncStore::Op::What::drop_row : AsyncStore::Op::What::put_row;
-    o.k = r.id;
-    if (r.state != ServerState::gone) o.v = codec::pack(r);
-    ops.push_back(std::move(o));
-  }
-  context_.disk->submit_lazy(std::move(ops));
+  std::vector<StoreOperation> ops;
+  for (ServerRecord const& r : v)
+    ops.push_back(r.state == ServerState::gone ? StoreOperation::delete_server(r.id)
+                                               : StoreOperation::put_server(r.id, codec::pack(r)));
+  context_.disk->submit_lazily(std::move(ops));
   for (ServerRecord const& r : v)
     pending_[r.id] = from;
   if (flushing_) return;
--- a/packages/model_checking/include/model_checking/idempotency_model.hpp
+++ b/packages/model_checking/include/model_checking/idempotency_model.hpp
@@ -7,7 +7,9 @@
 #include <set>
 
 #include "idempotency/key_backfill.hpp"
-#include "model_checking/consensus_model.hpp"
+#include "model_checking/explore.hpp"
+#include "model_checking/faults.hpp"
+#include "model_checking/model_values.hpp"
 
 namespace dockbend::model_checking {
 
@@ -331,7 +333,7 @@
       auto moved = [&](Member const& m) { return moved_.count({node_at(m.ip), m.incarnation.v}) > 0; };
       ReplicatedState s = *pending_;
       s.previous_membership = won_->membership;
-      if (s.stands(moved)) {
+      if (s.is_held_by_quorum(moved)) {
         won_ = pending_;
         pending_.reset();
         moved_.clear();
@@ -394,7 +396,7 @@
     if (pending_ || m == nullptr || left_.leaves == 0) return false;
     ReplicatedState s = *won_;
     if (F::shrinks_freely) s.largest_membership = 0;
-    if (!s.dismiss(m->ip, Incarnation(m->incarnation))) return false;
+    if (!s.remove_member(m->ip, Incarnation(m->incarnation))) return false;
     --left_.leaves;
     return begin(std::move(s));
   }
--- a/packages/model_checking/include/model_checking/lease_model.hpp
+++ b/packages/model_checking/include/model_checking/lease_model.hpp
@@ -4,7 +4,9 @@
 #include <memory>
 
 #include "leases/lease_client.hpp"
-#include "model_checking/consensus_model.hpp"
+#include "model_checking/explore.hpp"
+#include "model_checking/faults.hpp"
+#include "model_checking/model_values.hpp"
 
 namespace dockbend::model_checking {
 
--- a/packages/storage/include/storage/async_store.hpp
+++ b/packages/storage/include/storage/async_store.hpp
@@ -1,5 +1,4 @@
-// The disk: a store in a thread of its own, commits in groups. A task that owns
-// its file and talks by messages.
+/// The disk store on a thread of its own; commits are grouped.
 #pragma once
 #include <event2/event.h>
 
@@ -13,48 +12,67 @@
 #include <vector>
 
 #include "storage/disk_store.hpp"
+#include "storage/file_descriptor.hpp"
 
 namespace dockbend {
 
-// Invariant: a batch's callback says true only after its commit was synced.
+/// Who owns what: the loop's thread constructs, calls and destroys this object, and all callbacks run on it, from the
+/// event loop. The disk thread uses store_ alone, from the first submit until the destructor has joined it. The two
+/// exchange tasks through queued_ and finished_, which mutex_ guards; a byte in the pipe wakes the loop.
+///
+/// Invariant: a callback gets true only after its commit was synced. Callbacks of tasks that are not finished when this
+/// is destroyed are never called.
 class AsyncStore {
  public:
-  using Op = DiskStore::Op;
-  static Op put_meta(std::string k, std::string v) { return DiskStore::put_meta(std::move(k), std::move(v)); }
-  using Done = std::function<void(bool)>;
-  using Found = std::function<void(std::string const&)>;
+  using Done = std::function<void(bool is_written)>;
+  using Found = std::function<void(std::string const& answer)>;
 
-  // Opens (or makes) the file in dir; throws as Store does.
-  AsyncStore(event_base* loop, std::string const& dir);
+  /// Opens (or makes) the file in the directory; throws as DiskStore does. `loop` must outlive this.
+  AsyncStore(event_base* loop, std::string const& directory);
+  /// Waits until all that was submitted is written.
   ~AsyncStore();
   AsyncStore(AsyncStore const&) = delete;
+  AsyncStore& operator=(AsyncStore const&) = delete;
 
-  StoredState load() { return store_.load(); }  // only before the first submit
-  // Looks a kept answer up; "" if there is none. Seen after all submits before it.
-  void find_ret(std::string const& k, Found f);
-  void submit(std::vector<Op> ops, Done done);
-  void write_vote(VoteWrite w, Done done);
-  // For what nobody waits for: goes along with the next commit, or with one of its
-  // own after a moment. Kept in order with all that was handed in before.
-  void submit_lazy(std::vector<Op> ops);
+  /// Only before the first submit.
+  StoredState load() { return store_.load(); }
+  /// Reads a stored answer; empty if there is none. It sees everything submitted before.
+  void find_answer(std::string const& key, Found found);
+  void submit(std::vector<StoreOperation> operations, Done done);
+  void write_vote(VoteWrite vote, Done done);
+  /// For what nobody waits for: written with the next commit, or after a moment with one of its own. Stays in order
+  /// with everything submitted before.
+  void submit_lazily(std::vector<StoreOperation> operations);
 
  private:
-  struct Batch : DiskStore::Write {
+  struct Task : DiskStore::Write {
     Done done;
-    std::string want, got;  // a look-up, if want is not empty
+    std::string wanted_key, answer;  // a look-up, if wanted_key is not empty
     Found found;
   };
-  void hand_in(Batch b);
+  struct FreeEvent {
+    void operator()(event* e) const { event_free(e); }
+  };
+  void enqueue(Task task);
+
+  // On the disk thread.
   void run();
-  void reap();
+  std::deque<Task> wait_for_tasks();
+  void execute(std::deque<Task>& tasks);
+  void hand_back(std::deque<Task> tasks);
+
+  // On the loop's thread.
+  void call_back_finished();
+
   DiskStore store_;
-  std::mutex mu_;
-  std::condition_variable cv_;
-  std::deque<Batch> in_, out_;
-  bool stop_ = false, eager_ = false;
-  int pipe_[2] = {-1, -1};
-  event* ev_ = nullptr;
-  std::thread th_;
+  std::mutex mutex_;
+  std::condition_variable has_work_;
+  std::deque<Task> queued_, finished_;
+  bool is_stopping_ = false;
+  bool is_urgent_ = false;  // somebody waits for a queued task
+  FileDescriptor wake_receiver_, wake_sender_;
+  std::unique_ptr<event, FreeEvent> wake_event_;  // freed before the pipe is closed
+  std::thread thread_;
 };
 
 }  // namespace dockbend
--- a/packages/storage/include/storage/disk_store.hpp
+++ b/packages/storage/include/storage/disk_store.hpp
@@ -1,4 +1,4 @@
-// The disk's file: SQLite, one table a kind. Blocks; has no thread.
+/// The disk's file: SQLite, one table for each kind of record. Blocks; has no thread of its own.
 #pragma once
 #include <memory>
 #include <optional>
@@ -7,92 +7,88 @@
 #include <vector>
 
 #include "consensus/vote_writer.hpp"
-
-struct sqlite3_stmt;
+#include "storage/store_operation.hpp"
 
 namespace dockbend {
 
+/// A claimed key as it was stored.
 struct StoredKey {
   std::string key;
   u64 holder = 0;
-  bool sealed = false;
+  bool sealed = false;  ///< copied, and never granted again
+};
+/// A stored answer, without its bytes: DiskStore::answer() reads them.
+struct StoredAnswerSize {
+  std::string key;
+  std::size_t bytes = 0;
 };
 
-// The file is not what was written: torn, cut off, bits turned over, or older than what was said.
+/// The file is not what was written: torn, cut off, with flipped bits, or older than what was acknowledged.
 struct StorageCorruption : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// What a disk holds when it is opened. Invariant: value is there only whole, as head says.
+/// What a disk holds when it is opened. Invariant: `value` is complete, as `head` says.
 struct StoredState {
-  bool fresh = false;  // nothing was ever written here
+  bool is_fresh = false;  ///< nothing was ever written here
   std::optional<VoteHeader> head;
   std::optional<ReplicatedState> value;
-  u64 keys_filled = 0;  // the membership in which the keys became whole, plus one; 0: they are not
+  u64 keys_filled = 0;  ///< the membership in which the keys became complete, plus one; 0: they are not
   std::vector<StoredKey> keys;
   std::vector<std::string> servers;
-  std::vector<std::pair<std::string, std::size_t>> answers;  // key, bytes
+  std::vector<StoredAnswerSize> answers;
   std::string sites;
 };
 
-// Invariants: a write is on disk whole or not at all, and said to be only once it was synced;
-// the mark beside the file never names a vote that the file did not hold synced.
+/// Invariants: a write is on disk completely or not at all, and reported as written only after it was synced; the mark
+/// beside the file never names a vote that the file did not hold synced.
 class DiskStore {
  public:
-  static int constexpr layout = 2;
-  struct Op {
-    enum class What {
-      meta,
-      put_key,
-      drop_key,
-      put_row,
-      drop_row,
-      put_ret,
-      drop_ret,
-      put_value,
-      drop_value
-    } what = What::meta;
-    std::string k, v;
-    u64 holder = 0;
-    bool sealed = false;
-  };
-  static Op put_meta(std::string k, std::string v) {
-    Op o;
-    o.k = std::move(k);
-    o.v = std::move(v);
-    return o;
-  }
-  // Meta `whole` once the disk holds all keys of that membership (StoredState::keys_filled); no flip
-  // of a bit makes it.
-  static std::string whole_word(u64 filled) { return sealed(std::to_string(filled)); }
+  /// The number of the table layout that this program writes.
+  static int constexpr kLayout = 2;
+
+  /// Operations, and possibly a vote, that are written together.
   struct Write {
-    std::vector<Op> ops;
+    std::vector<StoreOperation> operations;
     std::optional<VoteWrite> vote;
-    bool ok = false;
+    bool is_written = false;
   };
 
-  // Opens (or makes) the file in dir. Throws Unreadable; SettingsError if a newer program wrote
-  // it, and touches nothing then; std::runtime_error if the disk won't have it.
-  explicit DiskStore(std::string const& dir);
+  /// The value of the meta row `whole`, once the disk holds all keys of that membership (StoredState::keys_filled). It
+  /// has a hash, so that no flipped bit makes one.
+  static std::string complete_keys_word(u64 keys_filled);
+
+  /// Opens (or makes) the file in the directory. Throws StorageCorruption; SettingsError if a newer program wrote it,
+  /// and then changes nothing; std::runtime_error if the disk refuses.
+  explicit DiskStore(std::string const& directory);
   ~DiskStore();
   DiskStore(DiskStore const&) = delete;
+  DiskStore& operator=(DiskStore const&) = delete;
 
-  StoredState load();  // before the first commit; throws Unreadable
-  // All or none, and sets each ok; a vote whose base the file does not hold is left out.
-  void commit(std::vector<Write*> const& all);
-  std::string answer(std::string const& key);  // "" if there is none
+  /// Only before the first commit. Throws StorageCorruption.
+  StoredState load();
+  /// Writes all or none in one transaction, and sets each is_written. A vote whose base the file does not hold is left
+  /// out, and its write is not reported as written.
+  void commit(std::vector<Write*> const& writes);
+  /// The stored answer of that key; empty if there is none.
+  std::string answer(std::string const& key);
 
-  // Durably puts an unreadable file out of the way. Its log goes after it: without the log
-  // the file would be an older one. Throws std::runtime_error.
-  static void set_aside(std::string const& dir);
+  /// Durably renames an unreadable file, and then its log: without the log the file would be an older one. Throws
+  /// std::runtime_error.
+  static void set_aside(std::string const& directory);
 
  private:
-  void make_or_migrate(bool empty);
-  bool put(Op const& o);
-  bool put_vote(VoteWrite const& v);
-  struct Db;
-  std::string dir_;
-  std::unique_ptr<Db> db_;
+  struct Handles;
+  bool write_operations(std::vector<Write*> const& writes, u64& seq, Incarnation& incarnation);
+  bool put(StoreOperation const& operation);
+  bool put_vote(VoteWrite const& vote);
+  void load_keys(StoredState& stored) const;
+  void load_answers(StoredState& stored) const;
+  void load_value(StoredState& stored, std::string const& sealed_header) const;
+  std::vector<StateRow> value_rows() const;
+
+  std::string directory_;
+  std::unique_ptr<Handles> handles_;
   u64 seq_ = 0;  // of the vote in the file
 };
 
--- a/programs/hollow_nodes.cpp
+++ b/programs/hollow_nodes.cpp
@@ -259,7 +259,7 @@
       DiskStore::Write x;
       x.vote = std::move(w);
       s.commit({&x});
-      done(x.ok);
+      done(x.is_written);
     }
   } file;
   VoteWriter<File> writer;
@@ -267,46 +267,47 @@
   explicit Founders(DiskStore& s)
       : prop("10.0.0.1",
              [this](Ballot have, Ballot b) {
-               return accs[0]->state()->ballot == b ? accs[0]->since(have) : std::nullopt;
+               return accs[0]->state()->ballot == b ? accs[0]->changes_since(have) : std::nullopt;
              }),
         file{s},
         writer(file, 0) {}
   void write(Acceptor::PendingWrite const& s) {
-    if (s.write)
-      writer.write(accs[0]->head(), s.rows, [](bool ok) {
+    if (s.is_needed)
+      writer.write(accs[0]->vote_header(), s.rows, [](bool ok) {
         if (!ok) throw std::runtime_error("the disk took no vote");
       });
   }
-  void deliver(std::vector<Proposer::Out> v) {
+  void deliver(Proposer::Messages v) {
     while (!v.empty()) {
-      Proposer::Out const o = std::move(v.front());
+      OutgoingMessage const o = std::move(v.front());
       v.erase(v.begin());
-      std::size_t const i = static_cast<std::size_t>(o.ip.back() - '1');
+      std::size_t const i = static_cast<std::size_t>(o.to_ip.back() - '1');
       auto const count = [&](std::size_t n) { sent += i == 0 ? 0 : 9.0 + static_cast<double>(n); };
-      std::vector<Proposer::Out> more;
-      if (o.is_prep) {
+      Proposer::Messages more;
+      if (auto const* const prepare = std::get_if<PrepareRequest>(&o.request)) {
         PrepareResponse r;
-        Acceptor::PendingWrite const s = accs[i]->prepare(o.prep, r);
+        Acceptor::PendingWrite const s = accs[i]->prepare(*prepare, r);
         if (i == 0) write(s);
-        count(codec::pack(o.prep).size());
+        count(codec::pack(*prepare).size());
         count(codec::pack(r).size());
-        more = prop.on_prep(o.ip, r);
+        more = prop.on_prepare_response(o.to_ip, r);
       } else {
+        auto const& accept = std::get<AcceptRequest>(o.request);
         AcceptResponse r;
-        Acceptor::PendingWrite const s = accs[i]->accept(o.acc, r);
+        Acceptor::PendingWrite const s = accs[i]->accept(accept, r);
         if (i == 0) write(s);
-        count(codec::pack(o.acc).size());
+        count(codec::pack(accept).size());
         count(codec::pack(r).size());
-        more = prop.on_acc(o.ip, r);
+        more = prop.on_accept_response(o.to_ip, r);
       }
       peak = std::max(peak, heap());
       v.insert(v.end(), more.begin(), more.end());
     }
-    if (!prop.won()) throw std::runtime_error("a round was lost");
+    if (!prop.is_committed()) throw std::runtime_error("a round was lost");
   }
   void round(Proposer::Change c) {
-    prop.saw(accs[0]->promised());
-    deliver(prop.begin(*accs[0]->state(), std::move(c), 0, std::nullopt));
+    prop.observe_ballot(accs[0]->promised());
+    deliver(prop.begin_round(*accs[0]->state(), std::move(c), 0, std::nullopt));
     CommitNotice m;
     m.ballot = prop.value().ballot;
     m.delta = prop.delta();
@@ -346,7 +347,7 @@
     for (int i = 0; i < Founders::members; ++i)
       f.accs.push_back(std::make_unique<Acceptor>(Incarnation(1), Ballot(1), s));
     double const value = (heap() - none) / Founders::members;
-    f.writer.write(f.accs[0]->head(), rows_of(s), [](bool) {});
+    f.writer.write(f.accs[0]->vote_header(), rows_of(s), [](bool) {});
     s = ReplicatedState();
     double const base = heap() - value;  // less our own vote
     f.round([](ReplicatedState&) { return true; });
--- a/tests/consensus/consensus_test.cpp
+++ b/tests/consensus/consensus_test.cpp
@@ -1,5 +1,7 @@
+/// Rounds of real acceptors and proposers over a network that loses, delays and reorders messages.
 #include <criterion/criterion.h>
 
+#include <algorithm>
 #include <set>
 
 #include "support/simulated_network.hpp"
@@ -8,9 +10,9 @@
 using namespace dockbend::test;
 
 namespace {
-// Every value won holds all that was won before it: nothing acknowledged is lost.
-void check_chain(Net const& n, unsigned seed) {
-  std::vector<ReplicatedState> h = n.history;
+/// Each committed value holds everything that was committed before it: nothing acknowledged is lost.
+void check_chain(SimulatedNetwork const& network, unsigned seed) {
+  std::vector<ReplicatedState> h = network.history;
   std::sort(h.begin(), h.end(), [](ReplicatedState const& a, ReplicatedState const& b) { return a.ballot < b.ballot; });
   for (std::size_t i = 1; i < h.size(); ++i) {
     auto const a = h[i - 1].by_key(), b = h[i].by_key();
@@ -25,240 +27,245 @@
 }
 }  // namespace
 
-Test(register_, racing_proposers_lose_nothing) {
-  std::size_t won = 0;
+Test(consensus, racing_proposers_lose_nothing) {
+  std::size_t committed = 0;
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    Net n(seed, 3);
+    SimulatedNetwork network(seed, 3);
     for (int i = 3; i < 6; ++i)
-      n.add(i, Incarnation(100 + static_cast<u64>(i)), true);
+      network.add(i, Incarnation(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 25; ++r) {
       for (int i = 0; i < 6; ++i) {
-        Node& x = n.nodes.at(Net::name(i));
-        if (n.rnd() % 3 != 0) continue;
-        if (!x.prop->idle()) {
-          if (n.rnd() % 6 != 0) continue;
-          x.prop->abandon();
+        SimulatedNode& node = network.nodes.at(SimulatedNetwork::name(i));
+        if (network.random() % 3 != 0) continue;
+        if (!node.proposer->is_idle()) {
+          if (network.random() % 6 != 0) continue;
+          node.proposer->abandon();
         }
-        if (i >= 3 && n.rnd() % 2 == 0)
-          n.propose(x.ip, join_member(x.ip, x.acc->incarnation()));
+        if (i >= 3 && network.random() % 2 == 0)
+          network.propose(node.ip, join_member(node.ip, node.acceptor->incarnation()));
         else
-          n.propose(x.ip, put_item("r/" + std::to_string(n.rnd() % 3), 1 + n.rnd() % 9, x.ip));
+          network.propose(node.ip,
+                          put_item("r/" + std::to_string(network.random() % 3), 1 + network.random() % 9, node.ip));
       }
       for (int k = 0; k < 45; ++k)
-        n.step(0.05);
+        network.step(0.05);
     }
-    n.run();
-    check_chain(n, seed);
-    won += n.history.size();
+    network.run();
+    check_chain(network, seed);
+    committed += network.history.size();
   }
-  cr_assert(won > 600, "only %zu rounds won", won);
+  cr_assert(committed > 600, "only %zu rounds committed", committed);
 }
 
-// Three joiners that came in before any was filled once waited for each other.
-Test(register_, disks_that_can_not_vote_wait_until_they_can_be_filled) {
+// Three disks that joined before any of them had copied the keys once waited for each other.
+Test(consensus, disks_without_keys_are_admitted_only_while_complete_ones_are_a_majority) {
   ReplicatedState s{};
   for (int i = 0; i < 3; ++i) {
-    Member m = member(Net::name(i), Incarnation(1));
+    Member m = member(SimulatedNetwork::name(i), Incarnation(1));
     m.whole = true;
     s.membership.push_back(m);
   }
-  Member d = member(Net::name(3), Incarnation(7)), e = member(Net::name(4), Incarnation(8)),
-         f = member(Net::name(5), Incarnation(9));
+  Member d = member(SimulatedNetwork::name(3), Incarnation(7)), e = member(SimulatedNetwork::name(4), Incarnation(8)),
+         f = member(SimulatedNetwork::name(5), Incarnation(9));
   cr_assert(s.admit(d));
   cr_assert(s.admit(e));
-  cr_assert_not(s.admit(f), "3 whole disks of 6 are no majority");
+  cr_assert_not(s.admit(f), "3 complete disks of 6 are no majority");
   d = *s.member(d.ip);  // what it says of its keys names its membership
   d.whole = true;
   cr_assert(s.admit(d));
   cr_assert(s.admit(f));
   cr_assert_not(s.admit(f), "a member that has not changed is no change");
-  Member wiped = member(Net::name(0), Incarnation(77));
-  cr_assert_not(s.admit(wiped), "with it only 3 of 6 would be whole");
+  Member wiped = member(SimulatedNetwork::name(0), Incarnation(77));
+  cr_assert_not(s.admit(wiped), "with it only 3 of 6 would be complete");
 }
 
-Test(register_, power_loss_and_lost_messages_keep_what_was_won) {
+Test(consensus, power_loss_and_lost_messages_lose_no_committed_value) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
-    Net n(seed, 3);
+    SimulatedNetwork network(seed, 3);
     for (int i = 3; i < 5; ++i)
-      n.add(i, Incarnation(100 + static_cast<u64>(i)), true);
+      network.add(i, Incarnation(100 + static_cast<u64>(i)), true);
     for (int r = 0; r < 30; ++r) {
-      std::string const ip = Net::name(static_cast<int>(n.rnd() % 5));
-      Node& x = n.nodes.at(ip);
-      if (x.best() != nullptr) {
-        x.prop->abandon();
-        if (n.rnd() % 3 == 0)
-          n.propose(ip, join_member(ip, x.acc->incarnation()));
+      std::string const ip = SimulatedNetwork::name(static_cast<int>(network.random() % 5));
+      SimulatedNode& node = network.nodes.at(ip);
+      if (node.newest() != nullptr) {
+        node.proposer->abandon();
+        if (network.random() % 3 == 0)
+          network.propose(ip, join_member(ip, node.acceptor->incarnation()));
         else
-          n.propose(ip, put_item("r/" + std::to_string(n.rnd() % 4), 1 + n.rnd() % 9, ip + std::to_string(r)));
+          network.propose(ip, put_item("r/" + std::to_string(network.random() % 4), 1 + network.random() % 9,
+                                       ip + std::to_string(r)));
       }
       for (int k = 0; k < 40; ++k)
-        n.step(0.1);
-      if (n.rnd() % 3 == 0) n.reboot(Net::name(static_cast<int>(n.rnd() % 5)));
-      if (n.rnd() % 9 == 0)
-        for (auto& [a, b] : n.nodes)
-          n.reboot(a);  // all of the core at once
+        network.step(0.1);
+      if (network.random() % 3 == 0) network.reboot(SimulatedNetwork::name(static_cast<int>(network.random() % 5)));
+      if (network.random() % 9 == 0)
+        for (auto& [a, b] : network.nodes)
+          network.reboot(a);  // all nodes at once
     }
-    n.run();
-    check_chain(n, seed);
+    network.run();
+    check_chain(network, seed);
   }
 }
 
-// A disk is wiped right after it acknowledged. It comes back as a new life: it has
-// no vote until the roster names that life, and what was won is still there.
-Test(register_, wiped_disk_votes_for_no_old_life) {
+// A disk is wiped right after it acknowledged. It comes back as a new incarnation: it has no vote until the membership
+// names that incarnation, and what was committed is still there.
+Test(consensus, a_wiped_disk_does_not_vote_for_its_old_incarnation) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
-    Net n(seed, 3);
+    SimulatedNetwork network(seed, 3);
     u64 incarnation = 1000;
     for (int r = 0; r < 12; ++r) {
-      std::string const ip = Net::name(static_cast<int>(n.rnd() % 3));
-      Node& x = n.nodes.at(ip);
-      if (x.best() != nullptr) {
-        x.prop->abandon();
-        n.propose(ip, put_item("r/a", static_cast<u64>(r) + 1, ip));
+      std::string const ip = SimulatedNetwork::name(static_cast<int>(network.random() % 3));
+      SimulatedNode& node = network.nodes.at(ip);
+      if (node.newest() != nullptr) {
+        node.proposer->abandon();
+        network.propose(ip, put_item("r/a", static_cast<u64>(r) + 1, ip));
       }
-      std::size_t const was = n.history.size();
-      while (n.history.size() == was && n.step()) {
+      std::size_t const was = network.history.size();
+      while (network.history.size() == was && network.step()) {
       }
       if (r == 5) {
-        std::string const gone = Net::name(static_cast<int>(n.rnd() % 3));
-        n.wipe(gone, Incarnation(++incarnation));
-        // The others answer it only once it has been taken in under its new life.
-        for (auto& [a, b] : n.nodes)
-          if (a != gone && b.best() != nullptr) {
-            b.prop->abandon();
-            n.propose(a, join_member(gone, Incarnation(incarnation)));
+        std::string const gone = SimulatedNetwork::name(static_cast<int>(network.random() % 3));
+        network.wipe(gone, Incarnation(++incarnation));
+        // The others answer it only once it was admitted in its new incarnation.
+        for (auto& [a, b] : network.nodes)
+          if (a != gone && b.newest() != nullptr) {
+            b.proposer->abandon();
+            network.propose(a, join_member(gone, Incarnation(incarnation)));
             break;
           }
-        n.run();
+        network.run();
       }
     }
-    n.run();
-    check_chain(n, seed);
-    cr_assert(n.history.back().by_key().count("r/a") == 1, "seed %u", seed);
+    network.run();
+    check_chain(network, seed);
+    cr_assert(network.history.back().by_key().count("r/a") == 1, "seed %u", seed);
   }
 }
 
-Test(register_, a_vote_for_another_life_is_none) {
+Test(consensus, a_request_for_another_incarnation_gets_no_vote) {
   Acceptor a(Incarnation(5), Ballot(), std::nullopt);
   PrepareResponse r{};
-  cr_assert_not(a.prepare(PrepareRequest{Ballot(9), Ballot(), Incarnation(4)}, r).write);
-  cr_assert_not(r.ok);
+  cr_assert_not(a.prepare(PrepareRequest{Ballot(9), Ballot(), Incarnation(4)}, r).is_needed);
+  cr_assert_not(r.is_promised);
   AcceptResponse q{};
   AcceptRequest acc{};
   acc.ballot = Ballot(9);
   acc.incarnation = Incarnation(4);
-  cr_assert_not(a.accept(acc, q).write);
-  cr_assert_not(q.ok);
+  cr_assert_not(a.accept(acc, q).is_needed);
+  cr_assert_not(q.is_accepted);
 }
 
-Test(register_, minority_wins_nothing) {
-  Net n(7, 5);
+Test(consensus, a_minority_commits_nothing) {
+  SimulatedNetwork network(7, 5);
   for (int i = 2; i < 5; ++i)
-    n.nodes.at(Net::name(i)).up = false;
-  n.propose(Net::name(0), put_item("r/a", 1, "x"));
-  n.run();
-  cr_assert(n.history.empty());
+    network.nodes.at(SimulatedNetwork::name(i)).is_up = false;
+  network.propose(SimulatedNetwork::name(0), put_item("r/a", 1, "x"));
+  network.run();
+  cr_assert(network.history.empty());
 }
 
-Test(register_, one_way_cut_does_not_split) {
-  Net n(3, 3);
-  n.cut.insert({Net::name(0), Net::name(1)});
-  n.cut.insert({Net::name(0), Net::name(2)});
-  n.propose(Net::name(0), put_item("r/a", 1, "cut"));
-  n.run();
-  cr_assert(n.history.empty());
-  n.propose(Net::name(1), put_item("r/a", 1, "whole"));
-  n.run();
-  cr_assert_eq(n.history.size(), 1u);
-  cr_assert_str_eq(n.history[0].by_key().at("r/a").body.c_str(), "whole");
+Test(consensus, a_one_way_partition_commits_one_value_only) {
+  SimulatedNetwork network(3, 3);
+  network.cut.insert({SimulatedNetwork::name(0), SimulatedNetwork::name(1)});
+  network.cut.insert({SimulatedNetwork::name(0), SimulatedNetwork::name(2)});
+  network.propose(SimulatedNetwork::name(0), put_item("r/a", 1, "cut"));
+  network.run();
+  cr_assert(network.history.empty());
+  network.propose(SimulatedNetwork::name(1), put_item("r/a", 1, "whole"));
+  network.run();
+  cr_assert_eq(network.history.size(), 1u);
+  cr_assert_str_eq(network.history[0].by_key().at("r/a").body.c_str(), "whole");
 }
 
-// A disk that takes nothing more stops voting; the others go on without it.
-Test(register_, full_disk_does_not_vote) {
-  Net n(3, 3);
-  n.nodes.at(Net::name(2)).votes = false;
-  n.propose(Net::name(0), put_item("r/a", 1, "x"));
-  n.run();
-  cr_assert_eq(n.history.size(), 1u);
-  n.nodes.at(Net::name(1)).votes = false;
-  n.propose(Net::name(0), put_item("r/a", 2, "y"));
-  n.run();
-  cr_assert_eq(n.history.size(), 1u);
+// A disk that can't be written any more stops voting; the others go on without it.
+Test(consensus, a_node_whose_disk_is_full_does_not_vote) {
+  SimulatedNetwork network(3, 3);
+  network.nodes.at(SimulatedNetwork::name(2)).can_vote = false;
+  network.propose(SimulatedNetwork::name(0), put_item("r/a", 1, "x"));
+  network.run();
+  cr_assert_eq(network.history.size(), 1u);
+  network.nodes.at(SimulatedNetwork::name(1)).can_vote = false;
+  network.propose(SimulatedNetwork::name(0), put_item("r/a", 2, "y"));
+  network.run();
+  cr_assert_eq(network.history.size(), 1u);
 }
 
-// Four members, a fifth joins: three of the new five are no majority of the old four.
-Test(register_, a_step_of_the_roster_needs_both_majorities) {
-  Net n(1, 4);
-  n.add(4, Incarnation(50), true);
-  std::string const e = Net::name(4);
-  n.propose(e, join_member(e, Incarnation(50)));
-  Node& x = n.nodes.at(e);
-  while (!n.bag.empty() && n.bag.front().what != 2) {
-    Msg const m = n.bag.front();
-    n.bag.erase(n.bag.begin());
-    n.deliver(n.nodes.at(m.to), m);
+// Four members, and a fifth joins: three of the new five are no majority of the old four.
+Test(consensus, a_membership_change_needs_majorities_of_both_memberships) {
+  SimulatedNetwork network(1, 4);
+  network.add(4, Incarnation(50), true);
+  std::string const e = SimulatedNetwork::name(4);
+  network.propose(e, join_member(e, Incarnation(50)));
+  SimulatedNode& node = network.nodes.at(e);
+  while (!network.bag.empty() && network.bag.front().kind != SimulatedMessage::Kind::accept_request) {
+    SimulatedMessage const m = network.bag.front();
+    network.bag.erase(network.bag.begin());
+    network.deliver(network.nodes.at(m.to), m);
   }
   int old = 0;
-  std::vector<Msg> held;
-  std::vector<Msg> accs;
-  accs.swap(n.bag);
-  for (Msg const& m : accs) {
-    if (m.what != 2) continue;
+  std::vector<SimulatedMessage> held;
+  std::vector<SimulatedMessage> accs;
+  accs.swap(network.bag);
+  for (SimulatedMessage const& m : accs) {
+    if (m.kind != SimulatedMessage::Kind::accept_request) continue;
     if (m.to != e && ++old > 2) {
       held.push_back(m);
       continue;
     }
-    n.deliver(n.nodes.at(m.to), m);
+    network.deliver(network.nodes.at(m.to), m);
   }
-  n.run();
-  cr_assert_not(x.prop->won());
+  network.run();
+  cr_assert_not(node.proposer->is_committed());
   cr_assert_not(held.empty());
-  n.bag.push_back(held.front());
-  n.run();
-  cr_assert(x.prop->won());
+  network.bag.push_back(held.front());
+  network.run();
+  cr_assert(node.proposer->is_committed());
 }
 
-// A brings members in, but the accepts reach the newcomers only: the steps are not won.
-// The others go on without it; A, with the newcomers alone, must not.
-Test(register_, a_step_that_is_not_won_lends_nobody_a_majority) {
-  std::string const a = Net::name(0), b = Net::name(1), c = Net::name(2), d = Net::name(3), e = Net::name(4);
-  auto only = [](Net& n, std::set<std::string> const& who, auto lost) {
-    while (!n.bag.empty()) {
-      Msg const m = n.bag.front();
-      n.bag.erase(n.bag.begin());
-      if (who.count(m.from) > 0 && who.count(m.to) > 0 && !lost(m)) n.deliver(n.nodes.at(m.to), m);
+// A proposes new members, but its accept requests reach only them: the membership changes are not committed. The others
+// go on without A; A, with the new members alone, must not.
+Test(consensus, a_membership_change_that_is_not_committed_makes_no_majority) {
+  std::string const a = SimulatedNetwork::name(0), b = SimulatedNetwork::name(1), c = SimulatedNetwork::name(2),
+                    d = SimulatedNetwork::name(3), e = SimulatedNetwork::name(4);
+  auto only = [](SimulatedNetwork& network, std::set<std::string> const& who, auto lost) {
+    while (!network.bag.empty()) {
+      SimulatedMessage const m = network.bag.front();
+      network.bag.erase(network.bag.begin());
+      if (who.count(m.from) > 0 && who.count(m.to) > 0 && !lost(m)) network.deliver(network.nodes.at(m.to), m);
     }
   };
-  auto none = [](Msg const&) { return false; };
+  auto none = [](SimulatedMessage const&) { return false; };
   for (bool const at_once : {true, false}) {
-    Net n(1, 3);
-    n.add(3, Incarnation(50), false);
-    n.add(4, Incarnation(51), false);
+    SimulatedNetwork network(1, 3);
+    network.add(3, Incarnation(50), false);
+    network.add(4, Incarnation(51), false);
     auto const join_d = join_member(d, Incarnation(50)), join_e = join_member(e, Incarnation(51));
     std::vector<Proposer::Change> steps{join_d, join_e};
     if (at_once) steps = {[=](ReplicatedState& s) { return join_d(s) && join_e(s); }};
     for (auto const& s : steps) {
-      n.nodes.at(a).prop->abandon();
-      n.propose(a, s);
-      only(n, {a, b, c, d, e}, [&](Msg const& m) { return m.what == 2 && (m.to == b || m.to == c); });
+      network.nodes.at(a).proposer->abandon();
+      network.propose(a, s);
+      only(network, {a, b, c, d, e}, [&](SimulatedMessage const& m) {
+        return m.kind == SimulatedMessage::Kind::accept_request && (m.to == b || m.to == c);
+      });
     }
-    cr_assert(n.history.empty());
+    cr_assert(network.history.empty());
     for (int i = 0; i < 2; ++i) {
-      n.nodes.at(b).prop->abandon();
-      n.propose(b, put_item("r/x", 1, "b"));
-      only(n, {b, c}, none);
+      network.nodes.at(b).proposer->abandon();
+      network.propose(b, put_item("r/x", 1, "b"));
+      only(network, {b, c}, none);
     }
-    cr_assert_geq(n.history.size(), 1u);
-    n.nodes.at(a).prop->abandon();
-    n.propose(a, put_item("r/x", 1, "a"));
-    only(n, {a, d, e}, none);
-    cr_assert_not(n.nodes.at(a).prop->won(), "two values stand");
-    // Once all meet again, one outcome is left.
-    n.propose(a, put_item("r/x", 1, "a"));
-    n.run();
-    n.propose(a, put_item("r/x", 1, "a"));
-    n.run();
-    check_chain(n, at_once);
-    cr_assert_str_eq(n.history.back().by_key().at("r/x").body.c_str(), "b");
+    cr_assert_geq(network.history.size(), 1u);
+    network.nodes.at(a).proposer->abandon();
+    network.propose(a, put_item("r/x", 1, "a"));
+    only(network, {a, d, e}, none);
+    cr_assert_not(network.nodes.at(a).proposer->is_committed(), "two values stand");
+    // Once all are connected again, one outcome is left.
+    network.propose(a, put_item("r/x", 1, "a"));
+    network.run();
+    network.propose(a, put_item("r/x", 1, "a"));
+    network.run();
+    check_chain(network, at_once);
+    cr_assert_str_eq(network.history.back().by_key().at("r/x").body.c_str(), "b");
   }
 }
--- a/tests/controller/membership_test.cpp
+++ b/tests/controller/membership_test.cpp
@@ -1,6 +1,7 @@
 #include <criterion/criterion.h>
 
-#include "consensus/membership.hpp"
+#include "consensus/failure_margin.hpp"
+#include "consensus/membership_monitor.hpp"
 #include "idempotency/key_table.hpp"
 #include "support/simulated_network.hpp"
 
@@ -12,7 +13,7 @@
 ReplicatedState roster_of(std::string const& zones) {
   ReplicatedState s;
   for (std::size_t i = 0; i < zones.size(); ++i) {
-    Member m = member(Net::name(static_cast<int>(i)), Incarnation(1));
+    Member m = member(SimulatedNetwork::name(static_cast<int>(i)), Incarnation(1));
     m.zone = std::string(1, zones[i]);
     m.region = std::string(1, static_cast<char>('A' + (zones[i] - 'a') / 2));
     m.whole = true;
@@ -21,7 +22,7 @@
   return s;
 }
 Member newcomer(int i, u64 incarnation, char zone) {
-  Member m = member(Net::name(i), Incarnation(incarnation));
+  Member m = member(SimulatedNetwork::name(i), Incarnation(incarnation));
   m.zone = std::string(1, zone);
   m.region = std::string(1, static_cast<char>('A' + (zone - 'a') / 2));
   return m;
@@ -54,13 +55,13 @@
     round(s, 10 + 2 * static_cast<u64>(k));
     std::string why;
     ReplicatedState early = s;
-    take_out(early, x, s.member(x)->incarnation, one, why);
-    if (early.membership.size() == 6) cr_assert_geq(margin_of(early, one).machines, 0);
-    fill(s, Net::name(y));
-    cr_assert(take_out(s, x, s.member(x)->incarnation, one, why), "%d: %s", k, why.c_str());
+    remove_if_harmless(early, x, s.member(x)->incarnation, one, why);
+    if (early.membership.size() == 6) cr_assert_geq(failure_margin(early, one).machines, 0);
+    fill(s, SimulatedNetwork::name(y));
+    cr_assert(remove_if_harmless(s, x, s.member(x)->incarnation, one, why), "%d: %s", k, why.c_str());
     round(s, 11 + 2 * static_cast<u64>(k));
     cr_assert_eq(s.membership.size(), 6u);
-    FailureMargin const m = margin_of(s, one);
+    FailureMargin const m = failure_margin(s, one);
     cr_assert(m.machines >= 0 && m.zones >= 0 && m.regions >= 0, "%d", k);
   }
 }
@@ -68,18 +69,18 @@
 Test(member, nobody_leaves_where_a_region_would_hold_a_majority) {
   ReplicatedState s = roster_of("aabcd");  // three of region A, two of B
   std::string why;
-  cr_assert_not(take_out(s, s.membership[4].ip, Incarnation(1), FailureTolerance{1, 0, 0}, why) &&
+  cr_assert_not(remove_if_harmless(s, s.membership[4].ip, Incarnation(1), FailureTolerance{1, 0, 0}, why) &&
                 s.membership.size() != 4);
   ReplicatedState t = roster_of("abcdef");
-  cr_assert(take_out(t, t.membership[0].ip, Incarnation(1), one, why));  // 1, 2, 2 of five: any region may go
-  cr_assert_not(take_out(t, t.membership[0].ip, Incarnation(1), one, why));
+  cr_assert(remove_if_harmless(t, t.membership[0].ip, Incarnation(1), one, why));  // 1, 2, 2 of five: any region may go
+  cr_assert_not(remove_if_harmless(t, t.membership[0].ip, Incarnation(1), one, why));
   cr_assert(why.find("the loss of 1 region ") != std::string::npos, "%s", why.c_str());
   cr_assert_eq(t.membership.size(), 5u);
   ReplicatedState u = roster_of("abc");
-  cr_assert_not(take_out(u, u.membership[0].ip, Incarnation(1), FailureTolerance{1, 0, 0}, why));
+  cr_assert_not(remove_if_harmless(u, u.membership[0].ip, Incarnation(1), FailureTolerance{1, 0, 0}, why));
   cr_assert(why.find("the loss of 1 machine ") != std::string::npos, "%s", why.c_str());
   // Asked again, it finds the member gone.
-  cr_assert_not(take_out(t, "10.0.0.1", Incarnation(1), one, why));
+  cr_assert_not(remove_if_harmless(t, "10.0.0.1", Incarnation(1), one, why));
   cr_assert(why.empty());
 }
 
@@ -104,7 +105,7 @@
       // Those that gave it leave one after the other, as far as they may.
       for (u64 b = 1; s.membership.size() > 1; ++b) {
         if (!ruled) s.largest_membership = 0;
-        if (!s.dismiss(s.membership.front().ip, Incarnation(1))) break;
+        if (!s.remove_member(s.membership.front().ip, Incarnation(1))) break;
         round(s, b);
       }
       ClaimQuorum p(s.membership.size(), s.epoch);
@@ -132,51 +133,51 @@
   ReplicatedState s = roster_of("abcdef");
   cr_assert(s.admit(newcomer(6, 50, 'a')));
   round(s, 3);
-  Member early = *s.member(Net::name(6));
+  Member early = *s.member(SimulatedNetwork::name(6));
   early.whole = true;
-  fill(s, Net::name(6));
+  fill(s, SimulatedNetwork::name(6));
   std::string why;
-  cr_assert(take_out(s, Net::name(6), Incarnation(50), one, why), "%s", why.c_str());
+  cr_assert(remove_if_harmless(s, SimulatedNetwork::name(6), Incarnation(50), one, why), "%s", why.c_str());
   round(s, 4);
   cr_assert(s.admit(early), "it may come in again");
-  cr_assert_not(s.member(Net::name(6))->whole);
+  cr_assert_not(s.member(SimulatedNetwork::name(6))->whole);
   round(s, 5);
-  cr_assert_eq(s.member(Net::name(6))->since.v, 5u);
+  cr_assert_eq(s.member(SimulatedNetwork::name(6))->since.v, 5u);
   s.admit(early);
-  cr_assert_not(s.member(Net::name(6))->whole, "said of an earlier membership");
+  cr_assert_not(s.member(SimulatedNetwork::name(6))->whole, "said of an earlier membership");
   early.since = Epoch(5);
   cr_assert(s.admit(early));
-  cr_assert(s.member(Net::name(6))->whole);
+  cr_assert(s.member(SimulatedNetwork::name(6))->whole);
 }
 
 // The proposer names the membership; one batch that takes a disk out and in again makes a new one.
 Test(member, a_round_that_takes_a_disk_out_and_in_makes_a_new_membership) {
-  Net n(1, 3);
+  SimulatedNetwork n(1, 3);
   for (auto& [ip, x] : n.nodes) {
     ReplicatedState s = *x.committed;
     for (Member& m : s.membership)
       m.whole = true;
     x.committed = s;
-    x.acc = std::make_unique<Acceptor>(Incarnation(1), Ballot(), s);
+    x.acceptor = std::make_unique<Acceptor>(Incarnation(1), Ballot(), s);
   }
-  n.propose(Net::name(0), [](ReplicatedState& s) {
-    Member m = *s.member(Net::name(2));
-    return s.dismiss(m.ip, m.incarnation) && s.admit(m);
+  n.propose(SimulatedNetwork::name(0), [](ReplicatedState& s) {
+    Member m = *s.member(SimulatedNetwork::name(2));
+    return s.remove_member(m.ip, m.incarnation) && s.admit(m);
   });
   n.run();
   cr_assert_eq(n.history.size(), 1u);
   ReplicatedState const& v = n.history[0];
-  cr_assert_eq(v.member(Net::name(2))->since.v, v.ballot.v);
+  cr_assert_eq(v.member(SimulatedNetwork::name(2))->since.v, v.ballot.v);
   cr_assert_eq(v.epoch.v, v.ballot.v);
-  cr_assert_not(v.member(Net::name(2))->whole);
-  cr_assert(v.member(Net::name(1))->whole);
+  cr_assert_not(v.member(SimulatedNetwork::name(2))->whole);
+  cr_assert(v.member(SimulatedNetwork::name(1))->whole);
 }
 
 Test(member, who_an_operator_took_out_stays_out) {
   ReplicatedState s = roster_of("abcdef");
   std::string why;
   Member const x = s.membership[1];
-  cr_assert(take_out(s, x.ip, x.incarnation, one, why));
+  cr_assert(remove_if_harmless(s, x.ip, x.incarnation, one, why));
   s.retired.push_back(RetiredMember{x.ip, x.incarnation});
   cr_assert_not(s.admit(x));
   Member wiped = x;
@@ -193,7 +194,7 @@
     for (Member const& m : s.membership)
       if (m.ip != but) w.heard(m.ip, now);
   };
-  std::string const me = Net::name(1), x = Net::name(0), y = Net::name(6);
+  std::string const me = SimulatedNetwork::name(1), x = SimulatedNetwork::name(0), y = SimulatedNetwork::name(6);
   all_heard(20, x);
   cr_assert_not(w.swap(s, me, 20), "nobody came");
   // One comes in another zone, then one in its own; it counts once it is whole.
@@ -201,7 +202,7 @@
   round(s, 2);
   w.see(s, 20);
   all_heard(21, x);
-  fill(s, Net::name(7));
+  fill(s, SimulatedNetwork::name(7));
   cr_assert_not(w.swap(s, me, 21));
   ReplicatedState t = s;
   cr_assert(s.admit(newcomer(6, 50, 'a')));
@@ -244,12 +245,12 @@
   cr_assert_not(w.settled(79));
   cr_assert(w.settled(81));
   s.largest_membership = 9;
-  cr_assert_not(s.dismiss(Net::name(0), Incarnation(1)));
+  cr_assert_not(s.remove_member(SimulatedNetwork::name(0), Incarnation(1)));
   round(s, 9);
   w.see(s, 81);
   cr_assert_not(w.settled(100));
   auto const e = w.settled(162);
   cr_assert(e && *e == s.epoch);
   s.largest_membership = 6;
-  cr_assert(s.dismiss(Net::name(0), Incarnation(1)));
+  cr_assert(s.remove_member(SimulatedNetwork::name(0), Incarnation(1)));
 }
--- a/tests/golden/golden_store_test.cpp
+++ b/tests/golden/golden_store_test.cpp
@@ -47,17 +47,17 @@
 Incarnation constexpr kLife{77};
 Ballot constexpr kPromised{~0ULL >> 2};
 
-DiskStore::Op operation(DiskStore::Op::What what, std::string key, std::string value = "") {
-  DiskStore::Op op;
-  op.what = what;
-  op.k = std::move(key);
-  op.v = std::move(value);
+StoreOperation operation(StoreOperation::Kind kind, std::string key, std::string value = "") {
+  StoreOperation op;
+  op.kind = kind;
+  op.key = std::move(key);
+  op.value = std::move(value);
   return op;
 }
-DiskStore::Op lease(std::string key, u64 holder, bool sealed) {
-  DiskStore::Op op = operation(DiskStore::Op::What::put_key, std::move(key));
+StoreOperation lease(std::string key, u64 holder, bool sealed) {
+  StoreOperation op = operation(StoreOperation::Kind::put_key, std::move(key));
   op.holder = holder;
-  op.sealed = sealed;
+  op.is_sealed = sealed;
   return op;
 }
 std::string sites_word() {
@@ -68,37 +68,37 @@
 
 // Two commits of two votes, so that both slots of the mark are used, and one row of each table dropped.
 void write_store(std::string const& directory) {
-  using What = DiskStore::Op::What;
+  using Kind = StoreOperation::Kind;
   DiskStore store(directory);
-  cr_assert(store.load().fresh);
+  cr_assert(store.load().is_fresh);
   Acceptor const founding(kLife, Ballot(1), founding_value());
   DiskStore::Write first;
   first.vote.emplace();
   first.vote->rows = rows_of(*founding.state());
-  first.vote->head = founding.head();
+  first.vote->head = founding.vote_header();
   first.vote->head.seq = 1;
-  first.ops = {lease("key-dropped", 9, true), operation(What::put_row, "server-dropped", "x"),
-               operation(What::put_ret, "key-dropped", "x")};
+  first.operations = {lease("key-dropped", 9, true), operation(Kind::put_server, "server-dropped", "x"),
+                      operation(Kind::put_answer, "key-dropped", "x")};
   store.commit({&first});
-  cr_assert(first.ok);
+  cr_assert(first.is_written);
   Acceptor const later(kLife, kPromised, whole_value());
   DiskStore::Write second;
   second.vote.emplace();
   second.vote->rows = rows_between(&*founding.state(), whole_value()).rows;
-  second.vote->head = later.head();
+  second.vote->head = later.vote_header();
   second.vote->head.seq = 2;
   second.vote->base = 1;
-  second.ops = {operation(What::drop_key, "key-dropped"),
-                operation(What::drop_row, "server-dropped"),
-                operation(What::drop_ret, "key-dropped"),
-                lease("key-claimed", 0x8123456789abcdefULL, false),
-                lease("key-sealed", 0x0123456789abcdefULL, true),
-                operation(What::put_row, filled<ServerRecord>().id, codec::pack(filled<ServerRecord>())),
-                operation(What::put_ret, filled<StoredAnswer>().key, codec::pack(filled<StoredAnswer>())),
-                DiskStore::put_meta("sites", sites_word()),
-                DiskStore::put_meta("whole", DiskStore::whole_word(12))};
+  second.operations = {operation(Kind::delete_key, "key-dropped"),
+                       operation(Kind::delete_server, "server-dropped"),
+                       operation(Kind::delete_answer, "key-dropped"),
+                       lease("key-claimed", 0x8123456789abcdefULL, false),
+                       lease("key-sealed", 0x0123456789abcdefULL, true),
+                       operation(Kind::put_server, filled<ServerRecord>().id, codec::pack(filled<ServerRecord>())),
+                       operation(Kind::put_answer, filled<StoredAnswer>().key, codec::pack(filled<StoredAnswer>())),
+                       StoreOperation::put_meta("sites", sites_word()),
+                       StoreOperation::put_meta("whole", DiskStore::complete_keys_word(12))};
   store.commit({&second});
-  cr_assert(second.ok);
+  cr_assert(second.is_written);
 }
 
 // Layout 1 as a program of that time wrote it: the value whole in one row, leases without a check.
@@ -139,7 +139,7 @@
 void check_loaded(GoldenFile& file, std::string const& directory) {
   DiskStore store(directory);
   StoredState const disk = store.load();
-  cr_assert(!disk.fresh && disk.head && disk.value);
+  cr_assert(!disk.is_fresh && disk.head && disk.value);
   file.check("head", to_hex(codec::pack(*disk.head)));
   file.check("value", to_hex(codec::pack(*disk.value)));
   cr_expect(codec::pack(*disk.value) == codec::pack(whole_value()), "the value is not what was written");
@@ -217,7 +217,7 @@
   fs::remove(directory.path + "/register.db-wal");
   try {
     StoredState const disk = DiskStore(directory.path).load();
-    cr_expect(!disk.fresh && !disk.head && !disk.value);
+    cr_expect(!disk.is_fresh && !disk.head && !disk.value);
   } catch (StorageCorruption const&) {
     // refused altogether
   }
--- a/tests/support/golden_fields.hpp
+++ b/tests/support/golden_fields.hpp
@@ -97,14 +97,15 @@
                        duties_set, duties, to_fix, fixed_set, fixed, open, passes_set, passes, units,
                        previous_membership_set, previous_membership, largest_membership, retired)
 DOCKBEND_GOLDEN_FIELDS(PrepareRequest, ballot, have, incarnation)
-DOCKBEND_GOLDEN_FIELDS(PrepareResponse, ok, ballot, promised, accepted, full, state, incarnation, delta)
+DOCKBEND_GOLDEN_FIELDS(PrepareResponse, is_promised, ballot, promised, accepted, has_complete_state, state, incarnation,
+                       delta)
 DOCKBEND_GOLDEN_FIELDS(AcceptRequest, ballot, incarnation, delta, state)
-DOCKBEND_GOLDEN_FIELDS(AcceptResponse, ok, ballot, promised, want_full, incarnation, have)
+DOCKBEND_GOLDEN_FIELDS(AcceptResponse, is_accepted, ballot, promised, needs_complete_state, incarnation, have)
 DOCKBEND_GOLDEN_FIELDS(CommitNotice, ballot, delta, state)
-DOCKBEND_GOLDEN_FIELDS(CatchUpRequest, have, won, part, after)
+DOCKBEND_GOLDEN_FIELDS(CatchUpRequest, have, committed, chunk_ballot, chunk_after)
 DOCKBEND_GOLDEN_FIELDS(StateChunk, base, after, upto, last, sum, count, part)
 DOCKBEND_GOLDEN_FIELDS(StateRow, key, body, gone)
-DOCKBEND_GOLDEN_FIELDS(VoteHeader, incarnation, promised, has, ballot, epoch, open, to_fix, sum, count, seq,
+DOCKBEND_GOLDEN_FIELDS(VoteHeader, incarnation, promised, has_value, ballot, epoch, open, to_fix, sum, count, seq,
                        largest_membership)
 DOCKBEND_GOLDEN_FIELDS(ClaimRequest, key, holder, epoch, incarnation, work_ms)
 DOCKBEND_GOLDEN_FIELDS(ClaimResponse, say, holder, epoch, incarnation, at_work)
--- a/tests/support/input_mutation.hpp
+++ b/tests/support/input_mutation.hpp
@@ -470,7 +470,7 @@
   Proposer prop("10.0.0.1");
   for (std::uint64_t i = 0; i < rounds; ++i) {
     ReplicatedState const best = *acc.state();
-    auto const asks = prop.begin(
+    auto const asks = prop.begin_round(
         best, [](ReplicatedState& s) { return ++s.to_fix > 0; }, 0, acc.state()->epoch);
     if (asks.empty()) {
       o.error_response("a value without a roster stands");
@@ -479,24 +479,26 @@
     Ballot const promised = acc.promised(), held = best.ballot;
     PrepareResponse pr;
     AcceptResponse ar;
-    o.run<codec::MalformedMessage>(
-        "prep", [&] { acc.prepare(codec::unpack<PrepareRequest>(sp.spoil(codec::pack(asks[0].prep))), pr); });
-    std::vector<Proposer::Out> accs;
+    o.run<codec::MalformedMessage>("prep", [&] {
+      acc.prepare(codec::unpack<PrepareRequest>(sp.spoil(codec::pack(std::get<PrepareRequest>(asks[0].request)))), pr);
+    });
+    Proposer::Messages accs;
     for (char const* ip : {"10.0.0.1", "10.0.0.2"})
       o.run<codec::MalformedMessage>("prepR", [&] {
         PrepareResponse good;
-        good.ok = true;
-        good.ballot = asks[0].prep.ballot;
+        good.is_promised = true;
+        good.ballot = std::get<PrepareRequest>(asks[0].request).ballot;
         good.promised = good.ballot;
         good.incarnation = Incarnation(1);
         std::string const body = codec::pack(good);
-        auto const v = prop.on_prep(ip, codec::unpack<PrepareResponse>(sp.chance(50) ? sp.spoil(body) : body));
+        auto const v =
+            prop.on_prepare_response(ip, codec::unpack<PrepareResponse>(sp.chance(50) ? sp.spoil(body) : body));
         accs.insert(accs.end(), v.begin(), v.end());
       });
     for (auto const& x : accs)
-      if (!x.is_prep)
+      if (auto const* const accept = std::get_if<AcceptRequest>(&x.request))
         o.run<codec::MalformedMessage>("acc", [&] {
-          std::string const body = codec::pack(x.acc);
+          std::string const body = codec::pack(*accept);
           acc.accept(codec::unpack<AcceptRequest>(sp.chance(70) ? sp.spoil(body) : body), ar);
         });
     if (acc.promised() < promised || acc.state()->ballot < held) o.error_response("a disk went back");
--- a/tests/support/simulated_day.hpp
+++ b/tests/support/simulated_day.hpp
@@ -43,7 +43,7 @@
       desks_[ip];
     for (int i = 0; i < p.callers; ++i)
       callers_.emplace_back();
-    net.over = [this](Node& n) { round_over(n); };
+    net.on_round_over = [this](SimulatedNode& n) { round_over(n); };
   }
 
   std::vector<Call> run() {
@@ -68,7 +68,7 @@
     while (c.busy) {
       ++now;
       for (auto& [ip, d] : desks_) {
-        if (!net.nodes.at(ip).up) net.reboot(ip);
+        if (!net.nodes.at(ip).is_up) net.reboot(ip);
         tend(ip, d);
       }
       ask(0);
@@ -78,7 +78,7 @@
     return history;
   }
 
-  Net net;
+  SimulatedNetwork net;
   u64 now = 0;
   std::vector<Call> history;
   std::size_t acked = 0, refused = 0, unknown = 0, resent = 0, overtaken = 0, led = 0, deaths = 0, steps = 0;
@@ -119,21 +119,21 @@
 
   // ---- nodes ---------------------------------------------------------------------------
   void die(std::string const& ip, u64 down) {
-    Node& n = net.nodes.at(ip);
-    n.up = false;
+    SimulatedNode& n = net.nodes.at(ip);
+    n.is_up = false;
     Desk& d = desks_.at(ip);
     deaths += d.led.size();
     d = Desk{};
     d.down_until = now + down;
   }
   void troubles() {
-    if (p_.long_cut && now % 4000 == 500) isolate(Net::name(0));
+    if (p_.long_cut && now % 4000 == 500) isolate(SimulatedNetwork::name(0));
     if (p_.long_cut && now % 4000 == 2500) net.cut.clear();
     if (p_.members && now % 120 == 0) {
-      std::string const by = Net::name(static_cast<int>(draw(net.nodes.size()))),
-                        who = Net::name(static_cast<int>(draw(net.nodes.size())));
-      Incarnation const incarnation = net.nodes.at(who).acc->incarnation();
-      if (net.nodes.at(by).up)
+      std::string const by = SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size()))),
+                        who = SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size())));
+      Incarnation const incarnation = net.nodes.at(who).acceptor->incarnation();
+      if (net.nodes.at(by).is_up)
         submit(
             by,
             [this, who, incarnation](ReplicatedState& s) {
@@ -142,7 +142,7 @@
               Member m = member(who, incarnation);
               m.whole = true;
               bool const in = s.member(who) != nullptr;
-              bool const stepped = in ? s.dismiss(who, incarnation) : s.admit(m);
+              bool const stepped = in ? s.remove_member(who, incarnation) : s.admit(m);
               steps += stepped ? 1 : 0;
               return stepped;
             },
@@ -151,13 +151,13 @@
     if (p_.calm == 0 || now % static_cast<u64>(p_.calm) != 0) return;
     switch (draw(5)) {
       case 0:
-      case 1: die(Net::name(static_cast<int>(draw(net.nodes.size()))), 20 + draw(300)); break;
+      case 1: die(SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size()))), 20 + draw(300)); break;
       case 2:
         for (auto& [ip, n] : net.nodes)
           die(ip, 30 + draw(60));
         break;
       case 3: {
-        std::string const a = Net::name(static_cast<int>(draw(net.nodes.size())));
+        std::string const a = SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size())));
         bool const one_way = draw(2) == 0;
         for (auto& [ip, n] : net.nodes) {
           net.cut.insert({a, ip});
@@ -183,14 +183,14 @@
   }
   void pump(std::string const& ip) {
     Desk& d = desks_.at(ip);
-    Node& n = net.nodes.at(ip);
-    if (!n.up || !n.prop->idle() || now < d.next) return;
+    SimulatedNode& n = net.nodes.at(ip);
+    if (!n.is_up || !n.proposer->is_idle() || now < d.next) return;
     while (!d.calls.empty() && d.calls.front().until < now) {
       auto const c = std::move(d.calls.front());
       d.calls.pop_front();
       c.done(nullptr);
     }
-    if (d.calls.empty() || n.best() == nullptr) return;
+    if (d.calls.empty() || n.newest() == nullptr) return;
     d.batch.assign(std::make_move_iterator(d.calls.begin()), std::make_move_iterator(d.calls.end()));
     d.calls.clear();
     d.since = now;
@@ -206,37 +206,38 @@
       d.calls.push_front(std::move(*it));
     d.batch.clear();
   }
-  void round_over(Node& n) {
+  void round_over(SimulatedNode& n) {
     Desk& d = desks_.at(n.ip);
     if (d.batch.empty()) return;
-    if (!n.prop->won()) {
+    if (!n.proposer->is_committed()) {
       d.next = now + draw(30);
       return back(d);
     }
     // It may only have brought another's step of the roster to its end.
-    if (!n.prop->changed() && !H::any_round) return back(d);
+    if (!n.proposer->has_applied_change() && !H::any_round) return back(d);
     std::vector<Waiting> b;
     b.swap(d.batch);
-    ReplicatedState const v = n.prop->value();
+    ReplicatedState const v = n.proposer->value();
     for (Waiting& w : b)
       w.done(&v);
   }
   void tend(std::string const& ip, Desk& d) {
-    Node& n = net.nodes.at(ip);
-    if (!n.up) {
+    SimulatedNode& n = net.nodes.at(ip);
+    if (!n.is_up) {
       if (now < d.down_until) return;
       net.reboot(ip);
     }
-    if (!n.prop->idle() && now - d.since > 100) {
-      n.prop->abandon();
+    if (!n.proposer->is_idle() && now - d.since > 100) {
+      n.proposer->abandon();
       d.next = now + draw(20);
       back(d);
     }
     // What is in force is asked for now and then, and what was left open is ended.
     if (draw(60) == 0 && n.committed)
-      net.bag.push_back(Msg{ip, Net::name(static_cast<int>(draw(net.nodes.size()))), 4, codec::pack(*n.committed)});
-    if (draw(150) == 0 && n.acc->state() && n.prop->idle() && d.calls.empty() &&
-        (!n.committed || n.acc->state()->ballot > n.committed->ballot))
+      net.bag.push_back(SimulatedMessage{ip, SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size()))),
+                                         SimulatedMessage::Kind::commit, codec::pack(*n.committed)});
+    if (draw(150) == 0 && n.acceptor->state() && n.proposer->is_idle() && d.calls.empty() &&
+        (!n.committed || n.acceptor->state()->ballot > n.committed->ballot))
       submit(
           ip, [](ReplicatedState&) { return false; }, [](ReplicatedState const*) {});
     pump(ip);
@@ -245,7 +246,7 @@
 
   // Rollouts by the real stages: three sites hold it after a while, or say nothing.
   void lead(std::string const& ip, Desk& d) {
-    Node& n = net.nodes.at(ip);
+    SimulatedNode& n = net.nodes.at(ip);
     std::map<std::string, std::string> const sites{{"s1", "a"}, {"s2", "b"}, {"s3", "c"}};
     for (Led& l : d.led) {
       if (is_over(l.ro.phase()) || l.ro.phase() == RolloutPhase::committing) continue;
@@ -281,7 +282,7 @@
   // make: the order, of a node that knows this value.
   template <class Make>
   void order(std::string const& ip, Make make, std::function<void(CommandResult const&)> done) {
-    Node const& n = net.nodes.at(ip);
+    SimulatedNode const& n = net.nodes.at(ip);
     auto o = make(n.committed ? &*n.committed : nullptr);
     order(ip, make, std::move(o), std::move(done));
   }
@@ -301,7 +302,7 @@
 
   void received(std::string const& ip, Op const& op,
                 std::function<void(CommandResult const&, Control::State const&)> done) {
-    Node& n = net.nodes.at(ip);
+    SimulatedNode& n = net.nodes.at(ip);
     ReplicatedState const* const known = n.committed ? &*n.committed : nullptr;
     auto const plain = [done](CommandResult const& o) { done(o, {}); };
     switch (op.what) {
@@ -425,11 +426,11 @@
     if (c.sent && now < c.at + silence) return;
     if (c.sent) ++resent;
     if (now < c.at) return;
-    std::string const ip = Net::name(static_cast<int>(draw(net.nodes.size())));
+    std::string const ip = SimulatedNetwork::name(static_cast<int>(draw(net.nodes.size())));
     c.sent = true;
     c.at = now;
     u64 const me = ++c.attempt;
-    if (!net.nodes.at(ip).up) {  // refused at once
+    if (!net.nodes.at(ip).is_up) {  // refused at once
       c.sent = false;
       c.at = now + 5;
       return;
--- a/tests/support/simulated_network.hpp
+++ b/tests/support/simulated_network.hpp
@@ -1,207 +1,217 @@
-// A network of registers in one process: messages wait in a bag and are taken
-// out in an order drawn by a seed; any may be lost or held back.
+/// Consensus nodes in one process: their messages wait in a bag and are taken out in an order that a seed decides; any
+/// of them may be lost or delayed.
 #pragma once
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
 #include <random>
+#include <set>
+#include <utility>
 
 #include "consensus/acceptor.hpp"
 #include "consensus/proposer.hpp"
 
 namespace dockbend::test {
 
-struct Node {
+/// A node with its disk.
+struct SimulatedNode {
   std::string ip;
-  std::unique_ptr<Acceptor> acc;
-  std::unique_ptr<Proposer> prop;
+  std::unique_ptr<Acceptor> acceptor;
+  std::unique_ptr<Proposer> proposer;
   std::optional<ReplicatedState> committed;
   // What the disk holds; a power loss goes back to it.
-  Ballot disk_promised;
-  std::optional<ReplicatedState> disk_state;
-  bool up = true, votes = true;
-  Proposer::Change want;
-  ReplicatedState const* best() const {
-    ReplicatedState const* b = committed ? &*committed : nullptr;
-    if (acc->state() && (b == nullptr || acc->state()->ballot > b->ballot)) b = &*acc->state();
-    return b;
+  Ballot promised_on_disk;
+  std::optional<ReplicatedState> state_on_disk;
+  bool is_up = true;
+  bool can_vote = true;
+  /// The newest value known here, committed or not; nullptr if none is.
+  ReplicatedState const* newest() const {
+    ReplicatedState const* newest = committed ? &*committed : nullptr;
+    if (acceptor->state() && (newest == nullptr || acceptor->state()->ballot > newest->ballot))
+      newest = &*acceptor->state();
+    return newest;
   }
 };
 
-struct Msg {
+struct SimulatedMessage {
+  enum class Kind { prepare_request, prepare_response, accept_request, accept_response, commit };
   std::string from, to;
-  int what = 0;  // 0 prep 1 prepR 2 acc 3 accR 4 commit
+  Kind kind = Kind::prepare_request;
   std::string body;
 };
 
-inline Member member(std::string const& ip, Incarnation l) {
-  Member m;
-  m.ip = ip;
-  m.incarnation = l;
-  return m;
+inline Member member(std::string const& ip, Incarnation incarnation) {
+  Member member;
+  member.ip = ip;
+  member.incarnation = incarnation;
+  return member;
 }
 
-class Net {
+class SimulatedNetwork {
  public:
-  explicit Net(unsigned seed, int founders) : rnd(seed) {
+  using Kind = SimulatedMessage::Kind;
+
+  explicit SimulatedNetwork(unsigned seed, int founders) : random(seed) {
     for (int i = 0; i < founders; ++i)
       founding.membership.push_back(member(name(i), Incarnation(1)));
     for (int i = 0; i < founders; ++i)
       add(i, Incarnation(1), true);
   }
+  /// The address of node i, from 0.
   static std::string name(int i) { return "10.0.0." + std::to_string(i + 1); }
 
-  Node& add(int i, Incarnation l, bool knows) {
-    Node& n = nodes[name(i)];
-    n = Node{};
-    n.ip = name(i);
-    std::optional<ReplicatedState> s;
-    if (knows) s = founding;
-    n.acc = std::make_unique<Acceptor>(l, Ballot(), s);
-    n.disk_state = s;
-    n.prop = std::make_unique<Proposer>(n.ip);
-    if (knows) n.committed = founding;
-    return n;
-  }
-
-  void send(Node& n, std::vector<Proposer::Out> const& v) {
-    for (auto const& o : v)
-      bag.push_back(Msg{n.ip, o.ip, o.is_prep ? 0 : 2, o.is_prep ? codec::pack(o.prep) : codec::pack(o.acc)});
+  SimulatedNode& add(int i, Incarnation incarnation, bool knows_founding_value) {
+    SimulatedNode& node = nodes[name(i)];
+    node = SimulatedNode{};
+    node.ip = name(i);
+    std::optional<ReplicatedState> state;
+    if (knows_founding_value) state = founding;
+    node.acceptor = std::make_unique<Acceptor>(incarnation, Ballot(), state);
+    node.state_on_disk = state;
+    node.proposer = std::make_unique<Proposer>(node.ip);
+    if (knows_founding_value) node.committed = founding;
+    return node;
   }
 
-  void propose(std::string const& ip, Proposer::Change c) {
-    Node& n = nodes.at(ip);
-    n.want = std::move(c);
-    ReplicatedState const* b = n.best();
-    if (b == nullptr) return;
-    n.prop->saw(n.acc->promised());
-    send(n, n.prop->begin(*b, n.want, 0, n.committed ? std::optional<Epoch>(n.committed->epoch) : std::nullopt));
+  void propose(std::string const& ip, Proposer::Change change) {
+    SimulatedNode& node = nodes.at(ip);
+    ReplicatedState const* const newest = node.newest();
+    if (newest == nullptr) return;
+    node.proposer->observe_ballot(node.acceptor->promised());
+    send(node, node.proposer->begin_round(*newest, std::move(change), 0,
+                                          node.committed ? std::optional<Epoch>(node.committed->epoch) : std::nullopt));
   }
 
-  // Takes one message out and delivers it; false if none is left.
-  bool step(double lose = 0) {
+  /// Takes one message out and delivers it; false if none is left.
+  bool step(double loss_probability = 0) {
     if (bag.empty()) return false;
-    std::size_t const i = rnd() % bag.size();
-    Msg const m = bag[i];
+    std::size_t const i = random() % bag.size();
+    SimulatedMessage const message = bag[i];
     bag.erase(bag.begin() + static_cast<long>(i));
-    if (std::uniform_real_distribution<>(0, 1)(rnd) < lose) return true;
-    auto const it = nodes.find(m.to);
-    if (it == nodes.end() || !it->second.up) return true;
-    if (cut.count({m.from, m.to}) > 0) return true;
-    deliver(it->second, m);
+    if (std::uniform_real_distribution<>(0, 1)(random) < loss_probability) return true;
+    auto const it = nodes.find(message.to);
+    if (it == nodes.end() || !it->second.is_up || cut.contains({message.from, message.to})) return true;
+    deliver(it->second, message);
     return true;
   }
-  void run(double lose = 0) {
-    while (step(lose)) {
+  /// Until no message is left.
+  void run() {
+    while (step()) {
     }
   }
 
-  void deliver(Node& n, Msg const& m) {
-    auto back = [&](int what, std::string body) { bag.push_back(Msg{n.ip, m.from, what, std::move(body)}); };
-    auto save = [&] {
-      n.disk_promised = n.acc->promised();
-      n.disk_state = n.acc->state();
-    };
-    switch (m.what) {
-      case 0: {
-        if (!n.votes) return;
-        PrepareResponse r;
-        if (n.acc->prepare(codec::unpack<PrepareRequest>(m.body), r).write) save();
-        back(1, codec::pack(r));
-        break;
-      }
-      case 2: {
-        if (!n.votes) return;
-        AcceptResponse r;
-        if (n.acc->accept(codec::unpack<AcceptRequest>(m.body), r).write) save();
-        back(3, codec::pack(r));
-        break;
-      }
-      case 1: {
-        bool const was = n.prop->done();
-        send(n, n.prop->on_prep(m.from, codec::unpack<PrepareResponse>(m.body)));
-        if (!was && n.prop->done() && over) over(n);
-        break;
-      }
-      case 3: {
-        bool const was = n.prop->done();
-        send(n, n.prop->on_acc(m.from, codec::unpack<AcceptResponse>(m.body)));
-        if (!was && n.prop->done() && n.prop->won()) won(n);
-        if (!was && n.prop->done() && over) over(n);
-        break;
-      }
-      case 4: {
-        ReplicatedState const s = codec::unpack<ReplicatedState>(m.body);
-        if (!n.committed || s.ballot > n.committed->ballot) n.committed = s;
-        n.acc->learn(s);
-        break;
-      }
-      default: break;
+  void deliver(SimulatedNode& node, SimulatedMessage const& message) {
+    switch (message.kind) {
+      case Kind::prepare_request: return on_prepare_request(node, message);
+      case Kind::prepare_response: return on_prepare_response(node, message);
+      case Kind::accept_request: return on_accept_request(node, message);
+      case Kind::accept_response: return on_accept_response(node, message);
+      case Kind::commit: return learn(node, codec::unpack<ReplicatedState>(message.body));
     }
   }
 
-  void won(Node& n) {
-    ReplicatedState const s = n.prop->value();
-    history.push_back(s);
-    if (!n.committed || s.ballot > n.committed->ballot) n.committed = s;
-    n.acc->learn(s);
-    for (auto& [ip, o] : nodes)
-      if (ip != n.ip) bag.push_back(Msg{n.ip, ip, 4, codec::pack(s)});
+  /// Power goes and comes back: memory is lost, the disk stays.
+  void reboot(std::string const& ip) {
+    SimulatedNode& node = nodes.at(ip);
+    node.acceptor = std::make_unique<Acceptor>(node.acceptor->incarnation(), node.promised_on_disk, node.state_on_disk);
+    node.proposer = std::make_unique<Proposer>(ip);
+    node.proposer->observe_ballot(node.promised_on_disk);
+    node.committed.reset();
+    node.is_up = true;
+  }
+  /// The disk is lost: a new incarnation that knows nothing.
+  void wipe(std::string const& ip, Incarnation incarnation) {
+    SimulatedNode& node = nodes.at(ip);
+    node.acceptor = std::make_unique<Acceptor>(incarnation, Ballot(), std::nullopt);
+    node.proposer = std::make_unique<Proposer>(ip);
+    node.committed.reset();
+    node.promised_on_disk = Ballot();
+    node.state_on_disk.reset();
+    node.is_up = true;
   }
 
-  // Power goes and comes back: memory is lost, the disk stays.
-  void reboot(std::string const& ip) {
-    Node& n = nodes.at(ip);
-    Incarnation const l = n.acc->incarnation();
-    n.acc = std::make_unique<Acceptor>(l, n.disk_promised, n.disk_state);
-    n.prop = std::make_unique<Proposer>(ip);
-    n.prop->saw(n.disk_promised);
-    n.committed.reset();
-    n.up = true;
-  }
-  // The disk is lost: a new life that knows nothing.
-  void wipe(std::string const& ip, Incarnation l) {
-    Node& n = nodes.at(ip);
-    n.acc = std::make_unique<Acceptor>(l, Ballot(), std::nullopt);
-    n.prop = std::make_unique<Proposer>(ip);
-    n.committed.reset();
-    n.disk_promised = Ballot();
-    n.disk_state.reset();
-    n.up = true;
-  }
-
-  std::function<void(Node&)> over;  // a round ended, won or lost
-  std::mt19937 rnd;
+  std::function<void(SimulatedNode&)> on_round_over;  // committed or not
+  std::mt19937 random;
   ReplicatedState founding;
-  std::map<std::string, Node> nodes;
-  std::vector<Msg> bag;
-  std::vector<ReplicatedState> history;  // as their proposers saw them won
-  std::set<std::pair<std::string, std::string>> cut;
+  std::map<std::string, SimulatedNode> nodes;
+  std::vector<SimulatedMessage> bag;
+  std::vector<ReplicatedState> history;               // committed values, in the order their proposers saw it
+  std::set<std::pair<std::string, std::string>> cut;  // from, to
+
+ private:
+  void send(SimulatedNode& node, Proposer::Messages const& messages) {
+    for (OutgoingMessage const& message : messages) {
+      bool const is_prepare = std::holds_alternative<PrepareRequest>(message.request);
+      std::string body = std::visit([](auto const& request) { return codec::pack(request); }, message.request);
+      bag.push_back({node.ip, message.to_ip, is_prepare ? Kind::prepare_request : Kind::accept_request, body});
+    }
+  }
+  static void save(SimulatedNode& node) {
+    node.promised_on_disk = node.acceptor->promised();
+    node.state_on_disk = node.acceptor->state();
+  }
+  void on_prepare_request(SimulatedNode& node, SimulatedMessage const& message) {
+    if (!node.can_vote) return;
+    PrepareResponse response;
+    if (node.acceptor->prepare(codec::unpack<PrepareRequest>(message.body), response).is_needed) save(node);
+    bag.push_back({node.ip, message.from, Kind::prepare_response, codec::pack(response)});
+  }
+  void on_accept_request(SimulatedNode& node, SimulatedMessage const& message) {
+    if (!node.can_vote) return;
+    AcceptResponse response;
+    if (node.acceptor->accept(codec::unpack<AcceptRequest>(message.body), response).is_needed) save(node);
+    bag.push_back({node.ip, message.from, Kind::accept_response, codec::pack(response)});
+  }
+  void on_prepare_response(SimulatedNode& node, SimulatedMessage const& message) {
+    bool const was_over = node.proposer->is_over();
+    send(node, node.proposer->on_prepare_response(message.from, codec::unpack<PrepareResponse>(message.body)));
+    if (!was_over && node.proposer->is_over() && on_round_over) on_round_over(node);
+  }
+  void on_accept_response(SimulatedNode& node, SimulatedMessage const& message) {
+    bool const was_over = node.proposer->is_over();
+    send(node, node.proposer->on_accept_response(message.from, codec::unpack<AcceptResponse>(message.body)));
+    if (was_over || !node.proposer->is_over()) return;
+    if (node.proposer->is_committed()) on_committed(node);
+    if (on_round_over) on_round_over(node);
+  }
+  void on_committed(SimulatedNode& node) {
+    ReplicatedState const value = node.proposer->value();
+    history.push_back(value);
+    learn(node, value);
+    for (auto& [ip, other] : nodes)
+      if (ip != node.ip) bag.push_back({node.ip, ip, Kind::commit, codec::pack(value)});
+  }
+  static void learn(SimulatedNode& node, ReplicatedState const& value) {
+    if (!node.committed || value.ballot > node.committed->ballot) node.committed = value;
+    node.acceptor->learn(value);
+  }
 };
 
-inline Proposer::Change put_item(std::string key, u64 gen, std::string body) {
-  return [=](ReplicatedState& s) {
-    auto m = s.by_key();
-    ConfigChange a;
-    a.items.push_back(ConfigItem{key, Generation(gen), false, body});
-    std::string f;
-    if (join(m, a, f) != MergeResult::changed) return false;
-    s.items.clear();
-    for (auto& [k, i] : m)
-      s.items.push_back(i);
+/// Sets one item, if its version is newer.
+inline Proposer::Change put_item(std::string key, u64 version, std::string body) {
+  return [=](ReplicatedState& state) {
+    auto items = state.by_key();
+    ConfigChange change;
+    change.items.push_back(ConfigItem{key, Generation(version), false, body});
+    std::string refusal;
+    if (join(items, change, refusal) != MergeResult::changed) return false;
+    state.items.clear();
+    for (auto& [_, item] : items)
+      state.items.push_back(item);
     return true;
   };
 }
-inline Proposer::Change join_member(std::string ip, Incarnation l) {
-  return [=](ReplicatedState& s) {
-    for (Member& x : s.membership)
-      if (x.ip == ip) {
-        if (x.incarnation == l) return false;
-        x.incarnation = l;
+
+/// Adds a member, or a new disk at a member's address, without the rules of ReplicatedState::admit.
+inline Proposer::Change join_member(std::string ip, Incarnation incarnation) {
+  return [=](ReplicatedState& state) {
+    for (Member& present : state.membership)
+      if (present.ip == ip) {
+        if (present.incarnation == incarnation) return false;
+        present.incarnation = incarnation;
         return true;
       }
-    s.membership.push_back(member(ip, l));
+    state.membership.push_back(member(ip, incarnation));
     return true;
   };
 }
