--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -52,7 +52,7 @@
   // Erased from the loop: the signal still runs in a function of the connection that the session owns.
   connection->on_down.connect([this, id](Connection&) {
     after(context_.loop, 0, [this, id] {
-      services_.rollouts.lost_channel(id);
+      services_.rollouts.on_session_ended(id);
       context_.sessions.erase(id);
     });
   });
@@ -92,7 +92,7 @@
   HandshakeRequest& hello = request.session.hello;
   hello = request.message.as<HandshakeRequest>();
   if (!is_ip(hello.ip)) throw codec::MalformedMessage("a hello without an address");
-  if (hello.role == 1) services_.consensus.holds(hello.ip, hello.incarnation, hello.accepted);
+  if (hello.role == 1) services_.consensus.on_peer_state(hello.ip, hello.incarnation, hello.accepted);
   HandshakeResponse response;
   response.ballot = services_.consensus.ballot();
   response.incarnation = context_.acceptor->incarnation();
@@ -103,19 +103,20 @@
 }
 
 void InboundSessions::on_prepare_request(Request const& request) {
-  services_.consensus.prep(request.session, request.message.tag, request.message.as<PrepareRequest>(), request.now);
+  services_.consensus.on_prepare_request(request.session, request.message.tag, request.message.as<PrepareRequest>(),
+                                         request.now);
 }
 
 void InboundSessions::on_accept_request(Request const& request) {
-  services_.consensus.acc(request.session, request.message.tag, request.message.as<AcceptRequest>());
+  services_.consensus.on_accept_request(request.session, request.message.tag, request.message.as<AcceptRequest>());
 }
 
 void InboundSessions::on_commit_notice(Request const& request) {
-  services_.consensus.commit(request.message.as<CommitNotice>(), request.session.hello.ip);
+  services_.consensus.on_commit(request.message.as<CommitNotice>(), request.session.hello.ip);
 }
 
 void InboundSessions::on_catch_up_request(Request const& request) {
-  services_.consensus.pull(request.session, request.message.as<CatchUpRequest>());
+  services_.consensus.on_catch_up_request(request.session, request.message.as<CatchUpRequest>());
 }
 
 void InboundSessions::on_server_records(Request const& request) {
@@ -152,7 +153,7 @@
   bool const may_start = subscription.have.v != 0 || context_.in_contact();
   Ballot const ours = context_.view.ballot;
   if (context_.committed && may_start && (ours > subscription.have || ours.v == 0))
-    request.session.ch->send(services_.consensus.lacking(subscription.have));
+    request.session.ch->send(services_.consensus.view_missing_since(subscription.have));
   services_.registry.feed(*request.session.ch, request.now);
 }
 
@@ -178,28 +179,28 @@
 }
 
 void InboundSessions::on_usage_update(Request const& request) {
-  services_.leases.join(request.message.as<UsageUpdate>());
+  services_.usage.on_usage_update(request.message.as<UsageUpdate>());
 }
 
 void InboundSessions::on_quota_lease_request(Request const& request) {
-  services_.leases.lend_to(*request.session.ch, request.message.tag, request.message.as<QuotaLeaseRequest>(),
-                           request.now);
+  services_.quotas.on_quota_lease_request(*request.session.ch, request.message.tag,
+                                          request.message.as<QuotaLeaseRequest>(), request.now);
 }
 
 void InboundSessions::on_stage_forward_request(Request const& request) {
-  services_.rollouts.hold_for(request.session.hello.ip, request.message.as<StageForwardRequest>());
+  services_.rollouts.on_stage_forward_request(request.session.hello.ip, request.message.as<StageForwardRequest>());
 }
 
 void InboundSessions::on_survey_request(Request const& request) {
-  services_.surveys.survey_sites(request.message.as<SurveyRequest>(), request.session.hello.ip);
+  services_.surveys.on_survey_request(request.message.as<SurveyRequest>(), request.session.hello.ip);
 }
 
 void InboundSessions::on_survey_response(Request const& request) {
-  services_.surveys.heard_survey(request.message.as<TrafficSurvey>(), request.message.body);
+  services_.surveys.on_survey_response(request.message.as<TrafficSurvey>(), request.message.body);
 }
 
 void InboundSessions::on_hand_over_command(Request const& request) {
-  services_.leases.told(request.message.as<HandOverCommand>());
+  services_.leases.on_hand_over_command(request.message.as<HandOverCommand>());
 }
 
 void InboundSessions::on_claim_request(Request const& request) {
@@ -219,11 +220,11 @@
 }
 
 void InboundSessions::on_stage_response(Request const& request) {
-  services_.rollouts.held(request.message.as<StageResponse>(), request.now);
+  services_.rollouts.on_stage_response(request.message.as<StageResponse>(), request.now);
 }
 
 void InboundSessions::on_rollout_status(Request const& request) {
-  services_.rollouts.note(request.message.as<RolloutStatusNotice>());
+  services_.rollouts.on_status_notice(request.message.as<RolloutStatusNotice>());
 }
 
 void InboundSessions::on_key_copy_request(Request const& request) {
--- a/packages/proxy/include/proxy/agent_client.hpp
+++ b/packages/proxy/include/proxy/agent_client.hpp
@@ -6,7 +6,8 @@
 #include "proxy/shutdown_sequence.hpp"
 #include "proxy/state_applier.hpp"
 #include "proxy/survey_responder.hpp"
-#include "rollout/rollout.hpp"
+#include "rollout/rollout_messages.hpp"
+#include "rollout/staged_changes.hpp"
 
 namespace dockbend {
 
--- a/packages/proxy/include/proxy/quota_gate.hpp
+++ b/packages/proxy/include/proxy/quota_gate.hpp
@@ -4,7 +4,7 @@
 
 #include "proxy/proxy_context.hpp"
 #include "proxy/request_flow.hpp"
-#include "quota/quota.hpp"
+#include "quota/quota_client.hpp"
 
 namespace dockbend {
 
--- a/packages/proxy/include/proxy/usage_metering.hpp
+++ b/packages/proxy/include/proxy/usage_metering.hpp
@@ -28,7 +28,7 @@
   void report_all_next() { reports_all_ = true; }
   void on_clock_reading(WallSeconds wall);
   /// Drops the windows before this one, whose reports are fixed.
-  void forget_before(UsageWindow window) { counter_.forget(window); }
+  void forget_before(UsageWindow window) { counter_.forget_before(window); }
 
  private:
   void count_silent(Seconds now);
--- a/packages/proxy/request_driver.cpp
+++ b/packages/proxy/request_driver.cpp
@@ -34,7 +34,7 @@
 }
 
 void RequestDriver::finish(ProxiedRequest& request) {
-  if (request.route->kind == schema::RouteKind::keyed) context_.drain.maintenance().answered(steady_now());
+  if (request.route->kind == schema::RouteKind::keyed) context_.drain.maintenance().on_keyed_answer(steady_now());
   request.cancel_timer();
   context_.requests.close(request);
 }
--- a/packages/proxy/usage_metering.cpp
+++ b/packages/proxy/usage_metering.cpp
@@ -16,12 +16,13 @@
   if (!request.tenant || request.counted_attempts >= state.attempts()) return;
   request.counted_attempts = state.attempts();
   Seconds const started_at = state.attempt_started_at();
-  WallSeconds const wall = clock_.known() ? clock_.at(started_at) : wall_clock_now() - (steady_now() - started_at);
-  counter_.began(request.tenant->name, window_of(wall, context_.settings.bounds.reportPeriodS));
+  WallSeconds const wall =
+      clock_.is_known() ? clock_.wall_time_at(started_at) : wall_clock_now() - (steady_now() - started_at);
+  counter_.count_request(request.tenant->name, usage_window_at(wall, context_.settings.bounds.reportPeriodS));
 }
 
 void UsageMetering::tick(Seconds now) {
-  clock_.own(now, wall_clock_now());
+  clock_.on_own_reading(now, wall_clock_now());
   count_silent(now);
   report(now);
 }
@@ -40,7 +41,7 @@
 void UsageMetering::report(Seconds now) {
   if (now - reported_at_ < kReportInterval || !context_.agent.up()) return;
   reported_at_ = now;
-  UsageUpdate const update = counter_.take(reports_all_);
+  UsageUpdate const update = counter_.take_update(reports_all_ ? UsageRows::all : UsageRows::changed);
   reports_all_ = false;
   if (!update.rows.empty()) context_.agent.send(MessageType::usage_update, 0, update);
 }
@@ -51,7 +52,7 @@
 }
 
 void UsageMetering::on_clock_reading(WallSeconds wall) {
-  clock_.peer_reading("agent", steady_now(), wall);
+  clock_.on_peer_reading("agent", steady_now(), wall);
 }
 
 }  // namespace dockbend
