--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -33,12 +33,12 @@
   StoredState stored = load_disk(settings.dataDir.empty() ? std::string("/tmp") : settings.dataDir);
   bool const is_first_start = !stored.head;
   // An empty disk is a new member, unless the system itself begins here.
-  bool const is_founder = stored.fresh && settings.bootstrap && is_seed();
+  bool const is_founder = stored.is_fresh && settings.bootstrap && is_seed();
   Incarnation const incarnation = stored.head  ? stored.head->incarnation
                                   : is_founder ? kFounderIncarnation
                                                : Incarnation((random64() >> 2) | 2);
   if (is_first_start) stored.keys_filled = is_founder ? 1 : 0;  // a founder is of membership 0
-  if (!stored.value && stored.fresh && settings.bootstrap) stored.value = founding_state();
+  if (!stored.value && stored.is_fresh && settings.bootstrap) stored.value = founding_state();
   // Only at the very first start is the founding state known to be the newest.
   if (is_first_start && stored.value) context_.committed = stored.value;
   context_.acceptor =
@@ -48,7 +48,7 @@
     write_first_vote(stored, is_founder);
     return stored;
   }
-  proposer_.saw(stored.head->promised);
+  proposer_.observe_ballot(stored.head->promised);
   if (stored.value) durable_ = stored.value->ballot;
   context_.born = true;
   return stored;
@@ -91,7 +91,8 @@
 
 void ConsensusService::write_first_vote(StoredState const& stored, bool is_founder) {
   if (is_founder)
-    context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(stored.keys_filled))});
+    context_.disk->submit_lazily(
+        {StoreOperation::put_meta("whole", DiskStore::complete_keys_word(stored.keys_filled))});
   write_vote(stored.value ? rows_of(*stored.value) : std::vector<StateRow>(), [this](bool is_written) {
     if (!is_written) on_first_write_failed.emit();
     context_.born = is_written;
@@ -135,7 +136,7 @@
 
 /// What changed after `have`, if our acceptor's history reaches back to it and ends at `committed`.
 std::optional<StateDelta> ConsensusService::history_since(Ballot have, Ballot committed) const {
-  return accepted() == committed ? context_.acceptor->since(have) : std::nullopt;
+  return accepted() == committed ? context_.acceptor->changes_since(have) : std::nullopt;
 }
 
 CatchUpRequest ConsensusService::own_catch_up_request() const {
@@ -153,12 +154,12 @@
   if (context_.committed && state.ballot <= context_.committed->ballot) return;
   std::optional<ReplicatedState> const previous = std::move(context_.committed);
   context_.committed = state;
-  proposer_.saw(state.ballot);
+  proposer_.observe_ballot(state.ballot);
   if (state.ballot >= yielding_to_ && yield_until_ > 0) {
     yield_until_ = 0;
     after(context_.loop, 0.02 * random01(), [this] { begin_round_if_due(); });
   }
-  if (Acceptor::PendingWrite write = context_.acceptor->learn(state))
+  if (Acceptor::PendingWrite write = context_.acceptor->learn(state); write.is_needed)
     write_vote(std::move(write.rows), [this, written = state.ballot](bool is_written) {
       if (is_written) durable_ = std::max(durable_, written);
     });
@@ -178,7 +179,7 @@
   peer.accepted = peer_accepted;
   if (!context_.acceptor->state() || accepted() <= ballot()) return;
   ReplicatedState const& state = *context_.acceptor->state();
-  if (state.stands([&](Member const& member) { return is_on_disk_at(member, state.ballot); }))
+  if (state.is_held_by_quorum([&](Member const& member) { return is_on_disk_at(member, state.ballot); }))
     commit(ReplicatedState(state));
 }
 
@@ -191,7 +192,7 @@
 }
 
 void ConsensusService::on_link_up(std::string const& ip, PeerLink& link) {
-  for (auto& message : proposer_.resend(ip))
+  for (auto& message : proposer_.resend_to(ip))
     send(message);
   link.send(MessageType::catch_up_request, 0, own_catch_up_request());
 }
@@ -209,24 +210,24 @@
 void ConsensusService::on_state_chunk(std::string const& ip, StateChunk const& chunk, Seconds now) {
   if (chunk.part.ballot <= ballot()) return;
   check_ballot(chunk.part.ballot);
-  ChunkAssembler::Took const taken = chunks_.take(chunk);
-  if (taken.whole) {
-    check_value(*taken.whole);
-    return commit(*taken.whole);
+  ChunkAssembler::Result const taken = chunks_.take(chunk);
+  if (taken.complete) {
+    check_value(*taken.complete);
+    return commit(*taken.complete);
   }
-  if (!taken.used) return;
+  if (!taken.is_used) return;
   chunk_at_ = now;
   request_catch_up(ip);
 }
 
 void ConsensusService::on_prepare_response(std::string const& ip, PrepareResponse const& response) {
   timeout_.answered(ip, steady_now());
-  send_all(proposer_.on_prep(ip, response));
+  send_all(proposer_.on_prepare_response(ip, response));
 }
 
 void ConsensusService::on_accept_response(std::string const& ip, AcceptResponse const& response) {
   timeout_.answered(ip, steady_now());
-  send_all(proposer_.on_acc(ip, response));
+  send_all(proposer_.on_accept_response(ip, response));
 }
 
 void ConsensusService::on_prepare_request(InboundSession& session, u32 tag, PrepareRequest const& request,
@@ -234,7 +235,7 @@
   if (!context_.born) return;
   PrepareResponse response;
   Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
-  if (response.ok) yield_to(response.ballot, now);
+  if (response.is_promised) yield_to(response.ballot, now);
   respond_when_durable(session.ch, MessageType::prepare_response, tag, response, std::move(write));
 }
 
@@ -253,7 +254,8 @@
     if (view > request.have || view.v == 0) session.ch->send(view_missing_since(request.have));
     return;
   }
-  if (committed.ballot < request.won || (committed.ballot == request.won && committed.ballot.v != 0)) return;
+  if (committed.ballot < request.committed || (committed.ballot == request.committed && committed.ballot.v != 0))
+    return;
   CommitNotice notice;
   notice.ballot = committed.ballot;
   // Who has this state already needs to hear only that it is committed.
@@ -263,8 +265,9 @@
     } else {
       auto const since = [&](Ballot base) { return history_since(base, committed.ballot); };
       RowChecksum const checksum =
-          accepted() == committed.ballot ? context_.acceptor->sum() : rows_between(nullptr, committed).sum;
-      StateChunk const chunk = piece_of(committed, checksum, request.part, request.after, since, kChunkBytes);
+          accepted() == committed.ballot ? context_.acceptor->checksum() : rows_between(nullptr, committed).checksum;
+      StateChunk const chunk =
+          next_chunk(committed, checksum, request.chunk_ballot, request.chunk_after, since, kChunkBytes);
       if (chunk.base != Ballot(0) || !chunk.last) return session.ch->send(MessageType::state_chunk, 0, chunk);
       notice.state = codec::pack(committed);
     }
@@ -303,7 +306,7 @@
 }
 
 void ConsensusService::tick(Seconds now) {
-  if (!proposer_.idle() && now - proposer_.since() > round_timeout()) {
+  if (!proposer_.is_idle() && now - proposer_.began_at() > round_timeout()) {
     proposer_.abandon();
     requeue(std::exchange(batch_, {}));
   }
@@ -316,7 +319,7 @@
     return;
   }
   if (next_finish_at_ == 0) next_finish_at_ = now + 0.8 + 0.8 * random01();
-  if (now <= next_finish_at_ || !queue_.empty() || !proposer_.idle()) return;
+  if (now <= next_finish_at_ || !queue_.empty() || !proposer_.is_idle()) return;
   next_finish_at_ = now + 1.0 + random01();
   submit([](ReplicatedState&) { return false; }, [](ReplicatedState const*) {}, kFinishPatienceSeconds);
 }
@@ -330,7 +333,7 @@
 
 void ConsensusService::begin_round_if_due() {
   Seconds const now = steady_now();
-  if (!proposer_.idle() || now < next_round_at_ || now < yield_until_ || !context_.born) return;
+  if (!proposer_.is_idle() || now < next_round_at_ || now < yield_until_ || !context_.born) return;
   drop_expired_changes(now);
   ReplicatedState const* const base = newest_state();
   if (queue_.empty() || base == nullptr) return;
@@ -342,10 +345,10 @@
       has_changed = queued.change(state) || has_changed;
     return has_changed;
   };
-  proposer_.saw(context_.acceptor->promised());
+  proposer_.observe_ballot(context_.acceptor->promised());
   timeout_.begin();
-  send_all(proposer_.begin(*base, apply_batch, now,
-                           context_.committed ? std::optional<Epoch>(context_.committed->epoch) : std::nullopt));
+  send_all(proposer_.begin_round(*base, apply_batch, now,
+                                 context_.committed ? std::optional<Epoch>(context_.committed->epoch) : std::nullopt));
 }
 
 void ConsensusService::drop_expired_changes(Seconds now) {
@@ -365,34 +368,36 @@
   std::vector<std::string> others;
   for (Member const& member : proposer_.base().membership)
     if (member.ip != context_.settings.ip) others.push_back(member.ip);
-  return timeout_.of(others);
+  return timeout_.timeout(others);
 }
 
-void ConsensusService::send_all(std::vector<Proposer::Out> const& messages) {
+void ConsensusService::send_all(Proposer::Messages const& messages) {
   for (auto const& message : messages)
     send(message);
   end_round_if_decided();
 }
 
-void ConsensusService::send(Proposer::Out const& message) {
-  if (message.ip == context_.settings.ip) {
+void ConsensusService::send(OutgoingMessage const& message) {
+  auto const* const prepare = std::get_if<PrepareRequest>(&message.request);
+  auto const* const accept = std::get_if<AcceptRequest>(&message.request);
+  if (message.to_ip == context_.settings.ip) {
     if (!context_.born) return;
-    return message.is_prep ? prepare_at_own_disk(message.prep) : accept_at_own_disk(message.acc);
+    return prepare != nullptr ? prepare_at_own_disk(*prepare) : accept_at_own_disk(*accept);
   }
-  PeerController& peer = context_.controller(message.ip);
+  PeerController& peer = context_.controller(message.to_ip);
   if (!peer.link) return;
-  timeout_.asked(message.ip, message.acc.state.size() + message.acc.delta.size(), steady_now());
-  if (message.is_prep)
-    peer.link->send(MessageType::prepare_request, 0, message.prep);
+  timeout_.asked(message.to_ip, accept == nullptr ? 0 : accept->state.size() + accept->delta.size(), steady_now());
+  if (prepare != nullptr)
+    peer.link->send(MessageType::prepare_request, 0, *prepare);
   else
-    peer.link->send(MessageType::accept_request, 0, message.acc);
+    peer.link->send(MessageType::accept_request, 0, *accept);
 }
 
 void ConsensusService::prepare_at_own_disk(PrepareRequest const& request) {
   PrepareResponse response;
   Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
-  auto const answer = [this, response] { send_all(proposer_.on_prep(context_.settings.ip, response)); };
-  if (!write.write) return after(context_.loop, 0, answer);
+  auto const answer = [this, response] { send_all(proposer_.on_prepare_response(context_.settings.ip, response)); };
+  if (!write.is_needed) return after(context_.loop, 0, answer);
   write_vote(std::move(write.rows), [answer](bool is_written) {
     if (is_written) answer();
   });
@@ -401,8 +406,8 @@
 void ConsensusService::accept_at_own_disk(AcceptRequest const& request) {
   AcceptResponse response;
   Acceptor::PendingWrite write = context_.acceptor->accept(request, response);
-  auto const answer = [this, response] { send_all(proposer_.on_acc(context_.settings.ip, response)); };
-  if (!write.write) return after(context_.loop, 0, answer);
+  auto const answer = [this, response] { send_all(proposer_.on_accept_response(context_.settings.ip, response)); };
+  if (!write.is_needed) return after(context_.loop, 0, answer);
   write_vote(std::move(write.rows), [this, answer, written = accepted()](bool is_written) {
     if (!is_written) return;
     durable_ = std::max(durable_, written);
@@ -411,16 +416,16 @@
 }
 
 void ConsensusService::end_round_if_decided() {
-  if (!proposer_.done() || batch_.empty()) return;
+  if (!proposer_.is_over() || batch_.empty()) return;
   std::vector<QueuedChange> changes = std::exchange(batch_, {});
   Seconds const now = steady_now();
-  if (proposer_.won()) {
+  if (proposer_.is_committed()) {
     ReplicatedState const base = proposer_.base();
     ReplicatedState const state = proposer_.value();
     lost_in_a_row_ = 0;
     announce_won_round(base, state);
     commit(state);
-    if (proposer_.changed())
+    if (proposer_.has_applied_change())
       for (QueuedChange& queued : changes)
         queued.done(&state);
     else  // the round first ended another controller's membership change
@@ -444,14 +449,14 @@
 
 /// Writes the acceptor's vote as it is now, with those rows of the state that it changed.
 void ConsensusService::write_vote(std::vector<StateRow> rows, std::function<void(bool is_written)> done) {
-  writer_->write(context_.acceptor->head(), std::move(rows), std::move(done));
+  writer_->write(context_.acceptor->vote_header(), std::move(rows), std::move(done));
 }
 
 /// Sends the acceptor's response once what it promises is on disk. A disk that fails to write does not vote.
 template <class Response>
 void ConsensusService::respond_when_durable(ConnectionPtr const& connection, MessageType type, u32 tag,
                                             Response const& response, Acceptor::PendingWrite write) {
-  if (!write.write) return connection->send(type, tag, response);
+  if (!write.is_needed) return connection->send(type, tag, response);
   std::weak_ptr<Connection> const weak_connection = connection;
   write_vote(std::move(write.rows),
              [this, weak_connection, type, tag, response, written = accepted()](bool is_written) {
--- a/packages/controller/include/controller/consensus_service.hpp
+++ b/packages/controller/include/controller/consensus_service.hpp
@@ -96,8 +96,8 @@
   void drop_expired_changes(Seconds now);
   void requeue(std::vector<QueuedChange> changes);
   Seconds round_timeout() const;
-  void send_all(std::vector<Proposer::Out> const& messages);
-  void send(Proposer::Out const& message);
+  void send_all(Proposer::Messages const& messages);
+  void send(OutgoingMessage const& message);
   void prepare_at_own_disk(PrepareRequest const& request);
   void accept_at_own_disk(AcceptRequest const& request);
   void end_round_if_decided();
--- a/packages/model_checking/include/model_checking/lease_model.hpp
+++ b/packages/model_checking/include/model_checking/lease_model.hpp
@@ -6,7 +6,9 @@
 #include <optional>
 
 #include "leases/lease_client.hpp"
-#include "model_checking/consensus_model.hpp"
+#include "model_checking/explore.hpp"
+#include "model_checking/faults.hpp"
+#include "model_checking/model_values.hpp"
 
 namespace dockbend::model_checking {
 
