--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -48,7 +48,7 @@
   control_listener_ = listen("control", [this](evhttp_request* request) { control_api_.handle(request); });
   directory_listener_ = listen("directory", [this](evhttp_request* request) { directory_.directory(request); });
   started_at_ = steady_now();
-  consensus_.show_first();
+  consensus_.publish_restored();
   timer_ = std::make_unique<PeriodicTimer>(loop, kTickSeconds, [this] { tick(); });
 }
 
@@ -67,7 +67,7 @@
 }
 
 std::unique_ptr<IdempotencyService> Controller::load_disk() {
-  consensus_.on_first_failed.connect([this] {
+  consensus_.on_first_write_failed.connect([this] {
     LOG4CPLUS_ERROR(logger_, "The first write to the disk failed; the process ends.");
     event_base_loopbreak(context_.loop);
   });
@@ -76,18 +76,18 @@
   idempotency->load(stored.keys, stored.answers);
   try {  // rows that can't be read come again with the heartbeats
     for (std::string const& row : stored.servers)
-      registry_.roll().load(codec::unpack<ServerRecord>(row), steady_now());
+      registry_.roll().restore(codec::unpack<ServerRecord>(row), steady_now());
     if (!stored.sites.empty()) directory_.load(codec::unpack<StateUpdate>(stored.sites).sites, steady_now());
   } catch (codec::MalformedMessage const&) {
     LOG4CPLUS_WARN(logger_, "Rows of servers or proxies on disk are malformed; the rest of them is left out.");
   }
-  consensus_.begin(steady_now());
+  consensus_.schedule_first_finish(steady_now());
   return idempotency;
 }
 
 void Controller::connect_signals() {
-  consensus_.on_view.connect([this] { usage_.on_windows_fixed(context_.view.to_fix); });
-  consensus_.on_value.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
+  consensus_.on_view().connect([this] { usage_.on_windows_fixed(context_.view.to_fix); });
+  consensus_.on_committed.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
   idempotency_->on_whole.connect([this] { membership_.hurry(); });
   prober_.on_change.connect([this](bool is_in_contact) { on_contact_changed(is_in_contact); });
   session_listener_.on_channel.connect([this](ConnectionPtr connection) { sessions_.accept(std::move(connection)); });
@@ -132,7 +132,7 @@
 void Controller::on_contact_changed(bool is_in_contact) {
   if (is_in_contact) {  // nobody could be heard meanwhile
     Seconds const now = steady_now();
-    registry_.roll().forgive(now);
+    registry_.roll().restart_timeouts(now);
     for (auto& [ip, peer] : context_.controllers)
       peer.heard = std::max(peer.heard, now);
   }
@@ -151,8 +151,8 @@
 
 void Controller::forgive_own_stall(Seconds now) {
   if (last_tick_at_ > 0 && now - last_tick_at_ > kStallSeconds) {  // others may have reported, unheard
-    registry_.roll().forgive(now);
-    directory_.catalog().forgive(now);
+    registry_.roll().restart_timeouts(now);
+    directory_.catalog().restart_timeouts(now);
   }
   last_tick_at_ = now;
 }
@@ -169,7 +169,7 @@
   directory_.tell_sites(now);
   membership_.tick(now);
   idempotency_->rebuild(now);
-  consensus_.finish(now);
+  consensus_.finish_open_state(now);
   if (now - last_slow_step_at_ < kSlowStepSeconds) prober_.probe_due(now);
 }
 
@@ -187,8 +187,8 @@
   // Out of contact heartbeats are heard but not acknowledged, and servers go to others: their silence says nothing.
   bool const could_be_heard = now - started_at_ > kMissedHeartbeats * context_.settings.beatPeriodS;
   if (could_be_heard && prober_.was_in_contact()) registry_.tick(now);
-  registry_.roll().purge(kServerPurgeSeconds, now);
-  directory_.catalog().expire(now);
+  registry_.roll().forget_gone(kServerPurgeSeconds, now);
+  directory_.catalog().drop_expired(now);
   directory_.count_sites(now);
   idempotency_->forget_old(now);
   rollouts_.forget_forwarded(now);
@@ -218,7 +218,7 @@
 void Controller::end_if_left(Seconds now) {
   if (context_.leaving_since == 0) return;
   Seconds const leaving_for = now - context_.leaving_since;
-  bool const has_nothing_left = consensus_.quiet() && !leases_.is_handing_over() && !membership_.holds_up(now);
+  bool const has_nothing_left = consensus_.is_idle() && !leases_.is_handing_over() && !membership_.holds_up(now);
   if ((has_nothing_left && leaving_for > kMinLeaveSeconds) ||
       leaving_for > context_.settings.bounds.gracePeriodS - kLeaveReserveSeconds)
     event_base_loopbreak(context_.loop);
--- a/packages/controller/include/controller/quota_service.hpp
+++ b/packages/controller/include/controller/quota_service.hpp
@@ -6,7 +6,7 @@
 #include "controller/directory_service.hpp"
 #include "controller/lease_service.hpp"
 #include "controller/singleton_role.hpp"
-#include "quota/quota.hpp"
+#include "quota/quota_allocator.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/include/controller/rollout_service.hpp
+++ b/packages/controller/include/controller/rollout_service.hpp
@@ -9,6 +9,7 @@
 #include "controller/directory_service.hpp"
 #include "controller/json_writer.hpp"
 #include "rollout/rollout.hpp"
+#include "rollout/rollout_messages.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/open_work_collector.cpp
+++ b/packages/controller/open_work_collector.cpp
@@ -21,7 +21,7 @@
     asked_at_[server] = now;
   std::erase_if(asked_at_, [now](auto const& entry) { return now - entry.second > kReportLifetime; });
   surveys_.request_open_work(servers, [this](TrafficSurvey const& survey) { on_report(survey); });
-  for (auto const& [front, proxy] : directory_service_.catalog().rows())
+  for (auto const& [front, proxy] : directory_service_.catalog().entries())
     reports_[front].listed_at = now;
   std::erase_if(reports_, [&](auto const& entry) {
     ProxyReport const& report = entry.second;
--- a/packages/controller/quota_service.cpp
+++ b/packages/controller/quota_service.cpp
@@ -10,23 +10,21 @@
 /// Quota leases that the allocator before has given may still run for this long and a part of the role's lease.
 Seconds constexpr kQuotaLease = 1.0;
 double constexpr kClockDriftPartOfLease = 0.1;
-/// Further away than any time of the steady clock.
-Seconds constexpr kNeverOpens = 1e18;
 
-void write_tenant(JsonWriter& json, std::string const& tenant, QuotaAllocator::Seen const& quota) {
+void write_tenant(JsonWriter& json, std::string const& tenant, QuotaAllocator::TenantStatus const& quota) {
   write_member(json, "tenant", tenant);
   write_member(json, "rate", quota.rule.rate);
   write_member(json, "burst", quota.rule.burst);
   write_member(json, "reserve", quota.rule.reserve);
-  write_member(json, "left", std::floor(quota.level));
-  write_member(json, "lent", quota.lent);
+  write_member(json, "left", std::floor(quota.available));
+  write_member(json, "lent", quota.leased);
   write_member(json, "spent", quota.spent);
   write_member(json, "refused", quota.refused);
 }
 
-void write_proxies(JsonWriter& json, QuotaAllocator::Seen const& quota) {
+void write_proxies(JsonWriter& json, QuotaAllocator::TenantStatus const& quota) {
   write_array(json, "gateways", [&] {
-    for (auto const& [front, tokens] : quota.lent_by)
+    for (auto const& [front, tokens] : quota.leased_by_address)
       write_object(json, [&, &front = front, &tokens = tokens] {
         write_member(json, "address", front);
         write_member(json, "lent", tokens);
@@ -45,11 +43,11 @@
   if (!leases_.holds(kQuotaRole)) return;
   double const proxies = directory_service_.proxies();
   for (std::string const& tenant : allocator_.tenants())
-    if (!has_rate_limit(tenant)) allocator_.drop(tenant);
+    if (!has_rate_limit(tenant)) allocator_.remove_tenant(tenant);
   for (TenantPtr const& tenant : context_.tenants.tenants()) {
     if (!tenant->allowance) continue;
     QuotaRule const rule{tenant->allowance->rate, tenant->allowance->burst, tenant->allowance->reserve.value_or(0)};
-    allocator_.rule(tenant->name, rule, proxies, now);
+    allocator_.set_rule(tenant->name, rule, proxies, now);
   }
 }
 
@@ -58,7 +56,7 @@
   QuotaLeaseResponse response;
   response.incarnation = request.incarnation;
   response.seq = request.seq;
-  if (leases_.may_act(kQuotaRole, now, 0)) response = allocator_.ask(request, now);
+  if (leases_.may_act(kQuotaRole, now, 0)) response = allocator_.grant(request, now);
   connection.send(MessageType::quota_lease_response, tag, response);
 }
 
@@ -80,7 +78,7 @@
 }
 
 void QuotaService::on_lease_lost() {
-  allocator_.open(kNeverOpens);
+  allocator_.close();
 }
 
 // Calls of operators
@@ -116,7 +114,7 @@
 }
 
 std::string QuotaService::tenant_json(std::string const& tenant, Seconds now) const {
-  QuotaAllocator::Seen const quota = allocator_.show(tenant, now);
+  QuotaAllocator::TenantStatus const quota = allocator_.status(tenant, now);
   return json_object([&](JsonWriter& json) {
     write_tenant(json, tenant, quota);
     write_proxies(json, quota);
@@ -127,7 +125,7 @@
   return json_object([&](JsonWriter& json) {
     write_array(json, "allowances", [&] {
       for (std::string const& tenant : allocator_.tenants())
-        write_object(json, [&] { write_tenant(json, tenant, allocator_.show(tenant, now)); });
+        write_object(json, [&] { write_tenant(json, tenant, allocator_.status(tenant, now)); });
     });
   });
 }
--- a/packages/operator_commands/drain_commands.cpp
+++ b/packages/operator_commands/drain_commands.cpp
@@ -27,12 +27,13 @@
 }
 
 CommandResult StartDrain::apply(ReplicatedState& state) const {
-  u64 run_id = 0;
+  StartedRun started;
   ReplicatedState changed;
   changed.passes = state.passes;
   changed.units = state.units;
   try {
-    if (!start(changed, order_, run_id)) return CommandResult::accepted(false, run_id);
+    started = start_run(changed, order_);
+    if (!started.is_new) return CommandResult::accepted(false, started.id);
   } catch (DrainOrderError const& error) {
     return refused(error);
   }
@@ -40,7 +41,7 @@
   if (runs_of(state) != known_runs_) return CommandResult::undecided("other passes came between");
   state.passes = std::move(changed.passes);
   state.units = std::move(changed.units);
-  return CommandResult::accepted(true, run_id);
+  return CommandResult::accepted(true, started.id);
 }
 
 ControlDrain::ControlDrain(u64 run_id, DrainCommand command, std::string unit, ReplicatedState const* known)
@@ -67,7 +68,7 @@
   if (has_ended && was_heard) return CommandResult::accepted(false, run_id_);
   if (!has_ended && is_overtaken(*run)) return CommandResult::undecided("another order came between");
   try {
-    bool const has_changed = command(state, run_id_, command_, unit_);
+    bool const has_changed = control_run(state, run_id_, command_, unit_);
     run->heard |= bit_of(command_);
     if (has_changed && turns_run()) ++run->turn;
     return CommandResult::accepted(has_changed || !was_heard, run_id_);
--- a/packages/proxy/agent_client.cpp
+++ b/packages/proxy/agent_client.cpp
@@ -50,15 +50,15 @@
 }
 
 void AgentClient::on_stage_request(StageRequest const& request) {
-  if (request.drop) return staged_changes_.drop(request.id);
+  if (request.drop) return staged_changes_.withdraw(request.id);
   std::size_t items = 0;
   for (ConfigItem const& item : request.items)
     items += !item.gone && item.key[0] != kLimitsKeyPrefix ? 1 : 0;
   StageResponse response;
   response.id = request.id;
-  response.holds = staged_changes_.holds(request.id) || CompiledConfiguration::from(request.items).size() == items;
+  response.holds = staged_changes_.is_staged(request.id) || CompiledConfiguration::from(request.items).size() == items;
   response.front = front_address_;
-  if (response.holds) staged_changes_.hold(request.id, steady_now() + request.for_ms / 1000.0);
+  if (response.holds) staged_changes_.stage(request.id, steady_now() + request.for_ms / 1000.0);
   context_.agent.send(MessageType::stage_response, 0, response);
 }
 
--- a/packages/proxy/include/proxy/proxied_request.hpp
+++ b/packages/proxy/include/proxy/proxied_request.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "proxy/request_flow.hpp"
-#include "quota/quota.hpp"
+#include "quota/quota_client.hpp"
 #include "request/admission.hpp"
 #include "request/request_machine.hpp"
 #include "request/request_table.hpp"
--- a/packages/proxy/include/proxy/proxy_context.hpp
+++ b/packages/proxy/include/proxy/proxy_context.hpp
@@ -7,7 +7,7 @@
 
 #include "configuration/configuration.hpp"
 #include "load_balancing/load_balancer.hpp"
-#include "planning/traffic_survey.hpp"
+#include "planning/traffic_observer.hpp"
 #include "proxy/drain_status.hpp"
 #include "proxy/proxied_request.hpp"
 #include "settings/settings.hpp"
--- a/packages/proxy/load_reporter.cpp
+++ b/packages/proxy/load_reporter.cpp
@@ -56,7 +56,7 @@
 ProxyDrainStatus LoadReporter::drain_status(Seconds now) {
   ProxyDrainState& maintenance = context_.drain.maintenance();
   u32 keyed = 0, uploads = 0;
-  if (maintenance.concerned()) {
+  if (maintenance.is_concerned()) {
     context_.requests.each([&](ProxiedRequest const& request) {
       keyed += request.route->kind == schema::RouteKind::keyed ? 1 : 0;
       uploads += request.upload ? 1 : 0;
@@ -66,7 +66,7 @@
         static_cast<u64>(static_cast<double>(kListenerTicksPerSecond) * context_.configuration.limits().idle);
     uploads += front_.open_body_reads(idle_ticks + kListenerTicksPerSecond);
   }
-  return maintenance.word(keyed, uploads, now);
+  return maintenance.status(keyed, uploads, now);
 }
 
 }  // namespace dockbend
--- a/packages/proxy/shutdown_sequence.cpp
+++ b/packages/proxy/shutdown_sequence.cpp
@@ -21,7 +21,7 @@
 }
 
 void ShutdownSequence::on_drain_instruction(DrainInstruction const& instruction) {
-  if (context_.drain.maintenance().told(instruction, steady_now()))
+  if (context_.drain.maintenance().on_instruction(instruction, steady_now()))
     LOG4CPLUS_INFO(logger_, (context_.drain.is_draining_for_maintenance() ? "Draining for maintenance. "
                                                                           : "No longer draining for maintenance. ")
                                 << context_.requests.size() << " requests in flight.");
--- a/packages/proxy/upstream_sender.cpp
+++ b/packages/proxy/upstream_sender.cpp
@@ -40,7 +40,7 @@
                                     request.route->latency_target * kPatiencePartOfTarget);
   request.machine.began(now, patience, connect_limit(request));
   request.attempted.push_back(server);
-  context_.traffic_observer.sent(request.route->name, balancer.zone_name(endpoint.zone), now);
+  context_.traffic_observer.on_attempt(request.route->name, balancer.zone_name(endpoint.zone), now);
 
   evhttp_request* const upstream_request = context_.connections.request(connection);
   add_headers(upstream_request, request, endpoint.id, now);
--- a/tests/operator_commands/operator_commands_test.cpp
+++ b/tests/operator_commands/operator_commands_test.cpp
@@ -200,12 +200,12 @@
 
 Test(operator_commands, rollout_accepts_a_repeated_command) {
   Rollout r(1, RolloutOptions{}, 0);
-  cr_assert(r.heed(RolloutCommand::pause, 0));
-  cr_assert(r.heed(RolloutCommand::pause, 0));
-  cr_assert(r.heed(RolloutCommand::abort, 0));
-  cr_assert(r.heed(RolloutCommand::abort, 0));
-  cr_assert(r.heed(RolloutCommand::pause, 0), "acknowledged before the rollout was over");
-  cr_assert_not(r.heed(RolloutCommand::resume, 0), "never acknowledged");
+  cr_assert(r.apply_command(RolloutCommand::pause, 0));
+  cr_assert(r.apply_command(RolloutCommand::pause, 0));
+  cr_assert(r.apply_command(RolloutCommand::abort, 0));
+  cr_assert(r.apply_command(RolloutCommand::abort, 0));
+  cr_assert(r.apply_command(RolloutCommand::pause, 0), "acknowledged before the rollout was over");
+  cr_assert_not(r.apply_command(RolloutCommand::resume, 0), "never acknowledged");
 }
 
 namespace {
--- a/tests/support/simulated_day.hpp
+++ b/tests/support/simulated_day.hpp
@@ -252,10 +252,10 @@
     for (LedRollout& led : d.led) {
       if (is_over(led.rollout.phase()) || led.rollout.phase() == RolloutPhase::committing) continue;
       for (auto const& [at, s] : led.reports)
-        if (at <= now) led.rollout.heard(s, true);
-      if (n.committed && !brings_news(n.committed->items, led.command.change())) led.rollout.overtaken();
-      auto const st = led.rollout.step(static_cast<Seconds>(now), sites);
-      for (std::string const& s : st.send)
+        if (at <= now) led.rollout.on_stage_response(s, true);
+      if (n.committed && !brings_news(n.committed->items, led.command.change())) led.rollout.on_overtaken();
+      auto const st = led.rollout.advance(static_cast<Seconds>(now), sites);
+      for (std::string const& s : st.stage_on)
         if (!chance(0.1)) led.reports.emplace_back(now + draw(25), s);
       if (led.rollout.phase() == RolloutPhase::fell_back) led.done(CommandResult::undecided("fell back"));
       if (led.rollout.phase() == RolloutPhase::overtaken) {
@@ -267,7 +267,7 @@
         order(ip, led.command, [this, ip, id, done = led.done](CommandResult const& o) {
           done(o);
           for (LedRollout& other : queues_.at(ip).led)
-            if (other.rollout.id() == id) other.rollout.committed(o.status == CommandStatus::accepted);
+            if (other.rollout.id() == id) other.rollout.on_commit_result(o.status == CommandStatus::accepted);
         });
       }
     }
