--- /dev/null
+++ b/packages/controller/api_responder.cpp
@@ -0,0 +1,45 @@
+#include "controller/api_responder.hpp"
+
+#include "request/headers.hpp"
+#include "transport/event_owners.hpp"
+#include "transport/transport.hpp"
+
+namespace dockbend {
+
+namespace {
+constexpr char kRetryAfterSeconds[] = "0.3";
+}
+
+ApiResponse error_response(int code, std::string const& what) {
+  schema::ErrorResponse error;
+  error.error_response = what;
+  return {code, json::render(error)};
+}
+
+ApiResponse answer_of(CommandResult const& result) {
+  int const code = status_of(result.ruling);
+  if (code != 200) return error_response(code, result.what);
+  return {code, result.id == 0 ? std::string("{}") : "{\"id\":\"" + std::to_string(result.id) + "\"}"};
+}
+
+void ApiResponder::write(evhttp_request* request, ApiResponse const& response) {
+  last_answered_ = request;
+  if (response.code == 400) ++rejected_input().calls;
+  evkeyvalq* const headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Content-Type", "application/json");
+  if (closes_connections_) evhttp_add_header(headers, "Connection", "close");
+  if (!response.location.empty()) evhttp_add_header(headers, "Location", response.location.c_str());
+  if (response.code == 503) evhttp_add_header(headers, "Retry-After", kRetryAfterSeconds);
+  BufferOwner const body(evbuffer_new());
+  evbuffer_add(body.get(), response.body.data(), response.body.size());
+  evhttp_send_reply(request, response.code, reason_of(response.code), body.get());
+}
+
+void ApiResponder::on_handler_failed(evhttp_request* request, std::exception const& error) {
+  DB_LOG("controller");
+  LOG4CPLUS_WARN(logger,
+                 "A call to " << evhttp_request_get_uri(request) << " could not be handled: " << error.what() << ".");
+  if (last_answered_ != request) write(request, error_response(500, error.what()));
+}
+
+}  // namespace dockbend
--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -50,7 +50,7 @@
   }
   proposer_.saw(stored.head->promised);
   if (stored.value) durable_ = stored.value->ballot;
-  context_.born = true;
+  context_.is_incarnation_durable = true;
   return stored;
 }
 
@@ -94,7 +94,7 @@
     context_.disk->submit_lazy({AsyncStore::put_meta("whole", DiskStore::whole_word(stored.keys_filled))});
   write_vote(stored.value ? rows_of(*stored.value) : std::vector<StateRow>(), [this](bool is_written) {
     if (!is_written) on_first_write_failed.emit();
-    context_.born = is_written;
+    context_.is_incarnation_durable = is_written;
   });
 }
 
@@ -200,8 +200,8 @@
   if (peer_ballot <= ballot()) return;
   if (context_.acceptor->state() && accepted() == peer_ballot) {
     commit(*context_.acceptor->state());
-  } else if (now - peer.pulled > kCatchUpIntervalSeconds && now - chunk_at_ > kChunkPatienceSeconds) {
-    peer.pulled = now;
+  } else if (now - peer.catch_up_requested_at > kCatchUpIntervalSeconds && now - chunk_at_ > kChunkPatienceSeconds) {
+    peer.catch_up_requested_at = now;
     peer.link->send(MessageType::catch_up_request, 0, own_catch_up_request());
   }
 }
@@ -231,7 +231,7 @@
 
 void ConsensusService::on_prepare_request(InboundSession& session, u32 tag, PrepareRequest const& request,
                                           Seconds now) {
-  if (!context_.born) return;
+  if (!context_.is_incarnation_durable) return;
   PrepareResponse response;
   Acceptor::PendingWrite write = context_.acceptor->prepare(request, response);
   if (response.ok) yield_to(response.ballot, now);
@@ -239,7 +239,7 @@
 }
 
 void ConsensusService::on_accept_request(InboundSession& session, u32 tag, AcceptRequest const& request) {
-  if (!context_.born) return;
+  if (!context_.is_incarnation_durable) return;
   AcceptResponse response;
   Acceptor::PendingWrite write = context_.acceptor->accept(request, response);
   respond_when_durable(session.ch, MessageType::accept_response, tag, response, std::move(write));
@@ -330,7 +330,7 @@
 
 void ConsensusService::begin_round_if_due() {
   Seconds const now = steady_now();
-  if (!proposer_.idle() || now < next_round_at_ || now < yield_until_ || !context_.born) return;
+  if (!proposer_.idle() || now < next_round_at_ || now < yield_until_ || !context_.is_incarnation_durable) return;
   drop_expired_changes(now);
   ReplicatedState const* const base = newest_state();
   if (queue_.empty() || base == nullptr) return;
@@ -376,7 +376,7 @@
 
 void ConsensusService::send(Proposer::Out const& message) {
   if (message.ip == context_.settings.ip) {
-    if (!context_.born) return;
+    if (!context_.is_incarnation_durable) return;
     return message.is_prep ? prepare_at_own_disk(message.prep) : accept_at_own_disk(message.acc);
   }
   PeerController& peer = context_.controller(message.ip);
--- a/packages/controller/contact_prober.cpp
+++ b/packages/controller/contact_prober.cpp
@@ -19,7 +19,7 @@
   if (!context_.committed) return;
   std::vector<std::string> candidates, far;
   for (auto const& [ip, peer] : context_.controllers)
-    if (peer.link && peer.link->up()) (context_.is_near(ip) ? candidates : far).push_back(ip);
+    if (peer.link && peer.link->up()) (context_.peers.is_near(ip) ? candidates : far).push_back(ip);
   candidates.insert(candidates.end(), far.begin(), far.end());
   for (std::string const& ip : context_.contact.due(candidates, now))
     probe(ip, *context_.controllers[ip].link, now);
--- a/packages/controller/control_api.cpp
+++ b/packages/controller/control_api.cpp
@@ -1,5 +1,7 @@
 #include "controller/control_api.hpp"
 
+#include "controller/api_calls.hpp"
+
 #include <event2/buffer.h>
 
 namespace dockbend {
@@ -98,7 +100,7 @@
   if (route == nullptr) return respond(call, error_response(404, "no such call"));
   // A call named Status reports of this controller alone, also where its group needs contact.
   if (route->contact == Contact::needed && !call.path.ends_with(".Status") && !context_.in_contact())
-    return respond(call, context_.redirect_to_controller_in_contact(evhttp_request_get_uri(request)));
+    return respond(call, redirect_to_controller_in_contact(context_, evhttp_request_get_uri(request)));
   if (route->handler == nullptr) return respond(call, error_response(404, "no such call"));
   if (route->method == Method::post && call.method != EVHTTP_REQ_POST)
     return respond(call, error_response(405, "wants POST"));
@@ -123,7 +125,7 @@
 }
 
 void ControlApi::respond(Call const& call, ApiResponse const& response) {
-  context_.write(call.request, response);
+  context_.api.write(call.request, response);
 }
 
 void ControlApi::heartbeat(Call const& call) {
@@ -140,9 +142,10 @@
   // A round without a change: the value that it finds is committed and not old.
   context_.submit([](ReplicatedState&) { return false; },
                   [this, request = call.request](ReplicatedState const* state) {
-                    if (state == nullptr) return context_.write(request, error_response(503, "no majority in time"));
-                    context_.answer(request, [&](evhttp_request* r) {
-                      context_.write(r, ApiResponse{200, render_read(state->by_key())});
+                    if (state == nullptr)
+                      return context_.api.write(request, error_response(503, "no majority in time"));
+                    context_.api.guard(request, [&](evhttp_request* r) {
+                      context_.api.write(r, ApiResponse{200, render_read(state->by_key())});
                     });
                   },
                   context_.patience());
@@ -150,7 +153,7 @@
 
 void ControlApi::set_evacuation(Call const& call, bool is_on) {
   bool const is_known_zone = context_.settings.zones.count(call.rest) > 0;
-  context_.order(call.request, SetEvacuation(call.rest, is_on, context_.known(), is_known_zone));
+  run_command(context_, call.request, SetEvacuation(call.rest, is_on, context_.known(), is_known_zone));
 }
 
 }  // namespace dockbend
--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 Controller::Controller(event_base* loop, Settings const& settings)
-    : context_(make_context(loop, settings)),
+    : context_(loop, settings),
       registry_(context_),
       directory_(context_),
       rollouts_(context_, directory_),
@@ -52,14 +52,6 @@
   timer_ = std::make_unique<PeriodicTimer>(loop, kTickSeconds, [this] { tick(); });
 }
 
-ControllerContext Controller::make_context(event_base* loop, Settings const& settings) {
-  ControllerContext context;
-  context.loop = loop;
-  context.settings = settings;
-  context.contact = QuorumContact<>(ContactOptions::of(settings.bounds), settings.ip, static_cast<u32>(random64()));
-  return context;
-}
-
 ControllerServices Controller::services() {
   return {context_,  consensus_, membership_, *idempotency_, registry_, directory_,
           rollouts_, leases_,    usage_,      quotas_,       surveys_,  drains_};
@@ -87,7 +79,7 @@
 void Controller::connect_signals() {
   consensus_.on_view().connect([this] { usage_.on_windows_fixed(context_.view.to_fix); });
   consensus_.on_committed.connect([this](bool membership_changed) { on_state_committed(membership_changed); });
-  idempotency_->on_whole.connect([this] { membership_.hurry(); });
+  idempotency_->on_whole.connect([this] { membership_.update_own_entry_soon(); });
   prober_.on_change.connect([this](bool is_in_contact) { on_contact_changed(is_in_contact); });
   session_listener_.on_channel.connect([this](ConnectionPtr connection) { sessions_.accept(std::move(connection)); });
 }
@@ -102,7 +94,7 @@
   if (bound == context_.settings.bind.end()) return nullptr;
   return std::make_unique<HttpListener>(
       context_.loop, bound->second,
-      [this, handler = std::move(handler)](evhttp_request* request) { context_.answer(request, handler); });
+      [this, handler = std::move(handler)](evhttp_request* request) { context_.api.guard(request, handler); });
 }
 
 void Controller::settings(Settings const& changed) {
@@ -116,8 +108,9 @@
 void Controller::term() {
   if (context_.leaving_since > 0) return;
   context_.leaving_since = steady_now();
+  context_.api.close_connections();
   leases_.hand_over_all();
-  membership_.term(context_.leaving_since);
+  membership_.on_term(context_.leaving_since);
 }
 
 void Controller::on_state_committed(bool membership_changed) {
@@ -217,7 +210,8 @@
 void Controller::end_if_left(Seconds now) {
   if (context_.leaving_since == 0) return;
   Seconds const leaving_for = now - context_.leaving_since;
-  bool const has_nothing_left = consensus_.is_idle() && !leases_.is_handing_over() && !membership_.holds_up(now);
+  bool const has_nothing_left =
+      consensus_.is_idle() && !leases_.is_handing_over() && !membership_.is_leave_pending(now);
   if ((has_nothing_left && leaving_for > kMinLeaveSeconds) ||
       leaving_for > context_.settings.bounds.gracePeriodS - kLeaveReserveSeconds)
     event_base_loopbreak(context_.loop);
--- a/packages/controller/digest_gossip.cpp
+++ b/packages/controller/digest_gossip.cpp
@@ -22,20 +22,20 @@
   without_addresses.controllers.clear();
   for (std::string const& ip : choose_receivers()) {
     PeerController& peer = context_.controllers[ip];
-    peer.digest_sent = now;
+    peer.digest_sent_at = now;
     // The connected controllers are named again only after they changed.
-    bool const knows_addresses = peer.told_known == digest.controllers;
-    peer.digests = context_.contact.ask(ip, now);
-    peer.link->send(MessageType::digest, peer.digests, knows_addresses ? without_addresses : digest);
-    peer.told_known = digest.controllers;
+    bool const knows_addresses = peer.sent_addresses == digest.controllers;
+    peer.digest_tag = context_.contact.ask(ip, now);
+    peer.link->send(MessageType::digest, peer.digest_tag, knows_addresses ? without_addresses : digest);
+    peer.sent_addresses = digest.controllers;
   }
 }
 
 std::vector<std::string> DigestGossip::choose_receivers() const {
-  bool const are_many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
+  bool const are_many = context_.peers.exceeds_full_mesh();
   std::vector<std::string> receivers, far;
   for (auto const& [ip, peer] : context_.controllers)
-    if (peer.link && peer.link->up()) (!are_many || context_.is_near(ip) ? receivers : far).push_back(ip);
+    if (peer.link && peer.link->up()) (!are_many || context_.peers.is_near(ip) ? receivers : far).push_back(ip);
   if (are_many) {
     sample(receivers, kNearReceivers);
     sample(far, kFarReceivers);
@@ -54,7 +54,7 @@
   digest.node = context_.settings.nodeName;
   digest.fit = services_.leases.can_take_over_now();
   digest.contact_left = prober_.remaining(steady_now());
-  if (with_addresses) digest.controllers = context_.connected_addresses();
+  if (with_addresses) digest.controllers = context_.peers.connected_addresses();
   return digest;
 }
 
@@ -67,7 +67,7 @@
   peer.fit = digest.fit;
   peer.node = digest.node;
   services_.consensus.on_peer_ballot(peer, digest.ballot, steady_now());
-  if (peer.off.hear(services_.registry.told_digest(), digest.digest)) services_.registry.spread_all(*peer.link);
+  if (peer.mismatch.hear(services_.registry.told_digest(), digest.digest)) services_.registry.spread_all(*peer.link);
 }
 
 void DigestGossip::on_response(std::string const& ip, u32 tag, GossipDigest const& digest) {
@@ -77,10 +77,10 @@
   response.left = digest.contact_left;
   context_.contact.answered(ip, tag, response);
   PeerController const& peer = context_.controllers[ip];
-  if (tag != peer.digests)
+  if (tag != peer.digest_tag)
     context_.unmatched.drop(UnmatchedReason::no_question);
   else if (digest.wall > 0)  // their clock's reading belongs to the middle of the round trip
-    services_.usage.on_peer_clock(ip, 0.5 * (peer.digest_sent + steady_now()), digest.wall);
+    services_.usage.on_peer_clock(ip, 0.5 * (peer.digest_sent_at + steady_now()), digest.wall);
   on_digest(ip, digest);
 }
 
--- a/packages/controller/directory_service.cpp
+++ b/packages/controller/directory_service.cpp
@@ -5,7 +5,7 @@
 DirectoryService::DirectoryService(ControllerContext& h) : context_(h) {}
 
 void DirectoryService::tell_sites(Seconds now) {
-  bool const many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
+  bool const many = context_.peers.exceeds_full_mesh();
   if (many) tell_far(now);
   if (now - sites_told_ < 0.25) return;
   sites_told_ = now;
@@ -19,7 +19,7 @@
   if (n.rows.empty()) return;
   EncodedMessage const pc = encode_message(MessageType::proxy_records, codec::pack(n));
   for (auto& [ip, m] : context_.controllers)
-    if (m.link && (!many || context_.is_near(ip))) m.link->send(pc);
+    if (m.link && (!many || context_.peers.is_near(ip))) m.link->send(pc);
 }
 
 void DirectoryService::controller_sites(std::string const& from, ProxyGossip const& n, Seconds now) {
@@ -30,7 +30,7 @@
     on.relay = false;
     EncodedMessage const pc = encode_message(MessageType::proxy_records, codec::pack(on));
     for (auto& [ip, m] : context_.controllers)
-      if (m.link && ip != origin && context_.is_near(ip)) m.link->send(pc);
+      if (m.link && ip != origin && context_.peers.is_near(ip)) m.link->send(pc);
   }
   for (ProxyRecord const& r : n.rows) {
     if (context_.settings.region_of(r.zone) != r.region || r.front.empty()) continue;
@@ -73,8 +73,8 @@
 void DirectoryService::directory(evhttp_request* r) {
   std::string const uri = evhttp_request_get_uri(r);
   if (uri.compare(0, 12, "/-/resolve?n") != 0 && uri.compare(0, 11, "/-/resolve?") != 0 && uri != "/-/resolve")
-    return context_.write(r, error_response(404, "no such call"));
-  if (evhttp_request_get_command(r) != EVHTTP_REQ_GET) return context_.write(r, error_response(405, "wants GET"));
+    return context_.api.write(r, error_response(404, "no such call"));
+  if (evhttp_request_get_command(r) != EVHTTP_REQ_GET) return context_.api.write(r, error_response(405, "wants GET"));
   evkeyvalq q{};
   evhttp_parse_query(uri.c_str(), &q);
   ClientContext c;
@@ -82,15 +82,15 @@
   if (char const* g = evhttp_find_header(&q, "region"); g != nullptr) c.region = g;
   evhttp_clear_headers(&q);
   if (c.region.empty()) c.region = context_.settings.region_of(c.zone);
-  if (!catalog_.settled(steady_now())) return context_.write(r, error_response(503, "the table is still filling"));
-  auto const l = context_.in_contact() ? catalog_.resolve(c, context_.out) : catalog_.resolve(c, cordoned());
-  if (l.empty()) return context_.write(r, error_response(503, "no site is ready"));
+  if (!catalog_.settled(steady_now())) return context_.api.write(r, error_response(503, "the table is still filling"));
+  auto const l = context_.in_contact() ? catalog_.resolve(c, context_.drained_units) : catalog_.resolve(c, cordoned());
+  if (l.empty()) return context_.api.write(r, error_response(503, "no site is ready"));
   schema::ResolveResponse ret;
   for (ProxyEntry const* s : l)
     ret.addresses.push_back(s->front);
   // Who has but one address has nowhere else to go until it asks again.
   ret.ttlS = std::min(l.size() > 1 ? 2.0 : 1.0, context_.settings.bounds.ttlMaxS);
-  context_.write(r, ApiResponse{200, json::render(ret)});
+  context_.api.write(r, ApiResponse{200, json::render(ret)});
 }
 
 void DirectoryService::count_sites(Seconds now) {
@@ -158,7 +158,7 @@
 
 DrainInstruction DirectoryService::told(std::string const& front) const {
   DrainInstruction d;
-  if (auto const it = context_.out.find(front); it != context_.out.end()) {
+  if (auto const it = context_.drained_units.find(front); it != context_.drained_units.end()) {
     d.stage = static_cast<u32>(it->second.stage);
     d.incarnation = it->second.incarnation;
   }
@@ -196,7 +196,7 @@
 
 std::set<std::string> DirectoryService::cordoned() const {
   std::set<std::string> v;
-  for (auto const& [name, u] : context_.out)
+  for (auto const& [name, u] : context_.drained_units)
     v.insert(name);
   for (auto const& [f, x] : catalog_.rows())
     if (x.drain.stage != 0) v.insert(f);
@@ -256,8 +256,8 @@
   }
   std::map<std::string, std::vector<PeerLink*>> by_region;
   for (auto& [ip, m] : context_.controllers)
-    if (m.link && m.link->up() && !context_.is_near(ip))
-      by_region[context_.region_of_controller(ip)].push_back(m.link.get());
+    if (m.link && m.link->up() && !context_.peers.is_near(ip))
+      by_region[context_.peers.region_of(ip)].push_back(m.link.get());
   EncodedMessage const pc = encode_message(MessageType::proxy_records, codec::pack(n));
   for (auto& [g, l] : by_region)
     l[random64() % l.size()]->send(pc);
--- a/packages/controller/drain_service.cpp
+++ b/packages/controller/drain_service.cpp
@@ -1,5 +1,7 @@
 #include "controller/drain_service.hpp"
 
+#include "controller/api_calls.hpp"
+
 #include <algorithm>
 #include <cmath>
 
@@ -117,8 +119,8 @@
 void DrainService::on_committed() {
   if (!context_.committed) return;
   UnitsByName units = units_out(*context_.committed);
-  bool const has_changed = !have_same_names(units, context_.out);
-  context_.out = std::move(units);
+  bool const has_changed = !have_same_names(units, context_.drained_units);
+  context_.drained_units = std::move(units);
   if (has_changed) registry_.orders_changed();
 }
 
@@ -277,13 +279,13 @@
 
 void DrainService::call(evhttp_request* http_request, std::string const& what, bool servers, bool is_post,
                         std::string const& body) {
-  if (what == "Status") return context_.write(http_request, ApiResponse{200, status_json(servers)});
-  if (!is_post) return context_.write(http_request, error_response(405, "wants POST"));
+  if (what == "Status") return context_.api.write(http_request, ApiResponse{200, status_json(servers)});
+  if (!is_post) return context_.api.write(http_request, error_response(405, "wants POST"));
   if (what == "Start") return start_call(http_request, servers, body);
   for (auto const& [prefix, command] : kCommandPaths)
     if (what.starts_with(prefix))
       return command_call(http_request, command, what.substr(std::string_view(prefix).size()));
-  context_.write(http_request, error_response(404, "no such call"));
+  context_.api.write(http_request, error_response(404, "no such call"));
 }
 
 void DrainService::start_call(evhttp_request* http_request, bool servers, std::string const& body) {
@@ -293,11 +295,11 @@
     order.servers = servers;
     check(order);
   } catch (json::Fault const& e) {
-    return context_.write(http_request, error_response(400, e.what()));
+    return context_.api.write(http_request, error_response(400, e.what()));
   } catch (DrainOrderError const& e) {
-    return context_.write(http_request, error_response(e.code, e.what()));
+    return context_.api.write(http_request, error_response(e.code, e.what()));
   }
-  context_.order(http_request, StartDrain(order, context_.known()));
+  run_command(context_, http_request, StartDrain(order, context_.known()));
 }
 
 /// `parameters`: ID, or ID/UNIT.
@@ -305,8 +307,8 @@
   std::size_t const slash = parameters.find('/');
   std::string const unit = slash == std::string::npos ? "" : parameters.substr(slash + 1);
   std::optional<u64> const id = parse_id(parameters.substr(0, slash));
-  if (!id) return context_.write(http_request, error_response(400, "id: wants a number"));
-  context_.order(http_request, ControlDrain(*id, command, unit, context_.known()));
+  if (!id) return context_.api.write(http_request, error_response(400, "id: wants a number"));
+  run_command(context_, http_request, ControlDrain(*id, command, unit, context_.known()));
 }
 
 std::string DrainService::status_json(bool servers) const {
--- a/packages/controller/idempotency_service.cpp
+++ b/packages/controller/idempotency_service.cpp
@@ -57,7 +57,7 @@
   ClaimResponse r;
   r.incarnation = context_.acceptor->incarnation();
   if (c.incarnation != r.incarnation) return context_.unmatched.drop(UnmatchedReason::disk_life);
-  if (!context_.born) return;
+  if (!context_.is_incarnation_durable) return;
   Epoch const mine = context_.acceptor->state() ? context_.acceptor->state()->epoch : Epoch(~0ULL);
   if (mine != fit_at_) fit(context_.acceptor->state());
   u64 const late = ledger_.late();
@@ -101,7 +101,7 @@
   if (!relay || !context_.committed) return;
   Member const* best = nullptr;
   for (Member const& m : context_.committed->membership) {
-    if (m.ip == context_.settings.ip || !context_.up(m.ip)) continue;
+    if (m.ip == context_.settings.ip || !context_.peers.is_up(m.ip)) continue;
     if (!r.homes.empty() && std::find(r.homes.begin(), r.homes.end(), m.region) == r.homes.end()) continue;
     if (best == nullptr || (m.region == context_.settings.region && best->region != context_.settings.region))
       best = &m;
--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -97,7 +97,7 @@
   response.ballot = services_.consensus.ballot();
   response.incarnation = context_.acceptor->incarnation();
   response.accepted = services_.consensus.durable();
-  response.controllers = context_.connected_addresses();
+  response.controllers = context_.peers.connected_addresses();
   response.wall = wall_clock_now();
   request.session.ch->send(MessageType::handshake_response, 0, response);
 }
@@ -136,10 +136,10 @@
   services_.directory.beat(heartbeat, session, request.now);
   session.front = heartbeat.front;
   ProxyHeartbeatResponse response = heartbeat_response(session);
-  if (session.beats++ % kHeartbeatsPerRelayList == 0 && !heartbeat.front.empty())
+  if (session.heartbeats++ % kHeartbeatsPerRelayList == 0 && !heartbeat.front.empty())
     response.relays = services_.directory.relays_for(heartbeat);
-  if (session.counts_told != services_.directory.turn()) {
-    session.counts_told = services_.directory.turn();
+  if (session.proxy_counts_version != services_.directory.turn()) {
+    session.proxy_counts_version = services_.directory.turn();
     response.sites = services_.directory.counted();
   }
   session.ch->send(MessageType::proxy_heartbeat_response, request.message.tag, response);
@@ -170,7 +170,7 @@
 }
 
 void InboundSessions::on_join_request(Request const& request) {
-  if (context_.committed && context_.born && context_.leaving_since == 0)
+  if (context_.committed && context_.is_incarnation_durable && context_.leaving_since == 0)
     services_.membership.admit(request.message.as<Member>());
 }
 
--- a/packages/controller/include/controller/controller.hpp
+++ b/packages/controller/include/controller/controller.hpp
@@ -26,7 +26,6 @@
   void term();
 
  private:
-  static ControllerContext make_context(event_base* loop, Settings const& settings);
   ControllerServices services();
   /// Reads what the disk holds into all services.
   std::unique_ptr<IdempotencyService> load_disk();
--- a/packages/controller/include/controller/membership_service.hpp
+++ b/packages/controller/include/controller/membership_service.hpp
@@ -1,117 +1,76 @@
-// The desk of the roster: coming in, leaving, and taking out who was replaced.
+/// Joining and leaving the membership, and replacing members that are gone.
 #pragma once
-#include <algorithm>
+#include <rapidjson/stringbuffer.h>
+#include <rapidjson/writer.h>
+
+#include <memory>
+#include <optional>
+#include <string>
 
 #include "consensus/membership.hpp"
 #include "controller/idempotency_service.hpp"
 
 namespace dockbend {
 
-// Invariants: this node asks to come in only while it is not leaving and was not taken out
-// by an operator; a SIGTERM is taken for an end for good only if a node of our zone came,
-// or knocks, in our place, and for a restart otherwise.
+/// Invariants: this controller asks to join only while it is not leaving and was not removed by an operator. A SIGTERM
+/// counts as leaving for good only if another controller of our zone joined, or asks to, in our place, and as a restart
+/// otherwise.
 class MembershipService {
  public:
-  MembershipService(ControllerContext& h, IdempotencyService& k, Seconds now);
+  using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-  void tick(Seconds now);
+  MembershipService(ControllerContext& context, IdempotencyService& idempotency, Seconds now);
 
-  // The keys are whole, or the disk's standing changed: the others hear of it at once.
-  void hurry();
-  // A mate asks to be taken in.
-  void admit(Member const& me);
+  void tick(Seconds now);
+  /// The keys are complete: asks at the next tick that the membership says so.
+  void update_own_entry_soon() { next_join_at_ = 0; }
+  /// Brings a controller's wish to join, its own or another's, into the replicated state.
+  void admit(Member const& member);
 
-  // Does the end of this process wait for its leave?
-  bool holds_up(Seconds now) const;
-  void term(Seconds now);
+  /// Whether the end of this process has to wait until it has left the membership.
+  bool is_leave_pending(Seconds now) const;
+  /// SIGTERM came.
+  void on_term(Seconds now);
 
   // Calls of the control API: Member.List, Member.Remove and Member.Add.
   std::string list() const;
-  void remove(evhttp_request* r, std::string const& ip);
-  // A node that was taken out may come back; it does so by itself.
-  void add(evhttp_request* r, std::string const& ip);
+  void remove(evhttp_request* request, std::string const& ip);
+  /// Lets a controller that was removed come back; it then joins by itself.
+  void add(evhttp_request* request, std::string const& ip);
 
-  template <class W>
-  void write_members(W& w) const {
-    Seconds const now = steady_now();
-    w.Key("members");
-    w.StartArray();
-    if (context_.committed)
-      for (Member const& m : context_.committed->membership) {
-        w.StartObject();
-        w.Key("address");
-        w.String(m.ip.c_str());
-        w.Key("zone");
-        w.String(m.zone.c_str());
-        w.Key("region");
-        w.String(m.region.c_str());
-        w.Key("up");
-        w.Bool(context_.up(m.ip));
-        w.Key("state");
-        w.String(state_of(m));
-        w.Key("silentS");
-        w.Double(m.ip == context_.settings.ip || context_.up(m.ip) ? 0
-                                                                   : std::round(watch_.silence(m.ip, now) * 10) / 10);
-        w.Key("since");
-        w.Uint64(m.since.v);
-        w.EndObject();
-      }
-    w.EndArray();
-    w.Key("removed");
-    w.StartArray();
-    if (context_.committed)
-      for (RetiredMember const& x : context_.committed->retired)
-        w.String(x.ip.c_str());
-    w.EndArray();
-    w.Key("bears");
-    w.StartObject();
-    if (context_.committed) {
-      FailureMargin const m = margin_of(*context_.committed, tolerance());
-      w.Key("machines");
-      w.Bool(m.machines >= 0);
-      w.Key("zones");
-      w.Bool(m.zones >= 0);
-      w.Key("regions");
-      w.Bool(m.regions >= 0);
-    }
-    w.EndObject();
-  }
+  /// Writes "members", "removed" and "bears" of the status report.
+  void write_members(Writer& writer) const;
 
  private:
-  static MembershipMonitorOptions plan(Bounds const& b);
+  static MembershipMonitorOptions monitor_options(Bounds const& bounds);
+  static void forget_larger_memberships(ReplicatedState& state, std::optional<Epoch> const& settled);
   FailureTolerance tolerance() const;
-  Member const* me() const;
-  char const* state_of(Member const& m) const;
-
-  void see(Seconds now);
-
-  // Wider rosters bind no more, if the round finds the epoch that stood for a horizon.
-  static void forget_wider(ReplicatedState& s, std::optional<Epoch> const& settled);
-
-  // Who takes others in: the first of the roster that is up, ourselves counted; "": we do.
-  std::string usher() const;
-
-  // Wanted: that the roster names our disk as it is.
-  void join(Seconds now);
-
-  // Wanted: nobody in the roster who is gone and was replaced. The first that is up sees to
-  // it; the others only once that one had its time.
-  void replace(Seconds now);
-
-  // Who came, or knocks, in our place.
-  bool heir(Seconds now) const;
+  Member const* own_entry() const;
+  char const* state_name(Member const& member) const;
+  void write_member(Writer& writer, Member const& member, Seconds now) const;
 
-  // Wanted while we end for good: first answers handed on, then out of the roster.
-  void leave(Seconds now);
+  void on_membership_changed(Seconds now);
+  std::string admitting_member() const;
+  bool has_successor(Seconds now) const;
+  Member wanted_own_entry() const;
 
-  static constexpr std::size_t most_retired = 64;  // the oldest is forgotten: it may then come back
+  // What is brought about, step by step, at each tick.
+  void join_if_due(Seconds now);
+  void replace_silent_member(Seconds now);
+  void leave_if_replaced(Seconds now);
+  void submit_leave(Seconds now);
 
   ControllerContext& context_;
   IdempotencyService& idempotency_;
-  MembershipMonitor watch_;
-  Epoch seen_;
-  bool any_ = false, in_ = false, asked_usher_ = false, swapping_ = false, asking_ = false, left_ = false;
-  Seconds join_at_ = 0, last_ = 0;
+  MembershipMonitor monitor_;
+  Epoch seen_epoch_;
+  bool has_seen_membership_ = false;
+  bool is_member_ = false;
+  bool has_asked_admitting_member_ = false;
+  bool is_replacing_ = false;        // a round to replace a member runs
+  bool is_leave_submitted_ = false;  // a round to leave runs
+  bool is_leave_settled_ = false;    // out, or refused: then it is a restart
+  Seconds next_join_at_ = 0, last_tick_at_ = 0;
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
 };
 
--- a/packages/controller/lease_service.cpp
+++ b/packages/controller/lease_service.cpp
@@ -85,7 +85,7 @@
 }
 
 bool LeaseService::can_hold_leases() const {
-  return context_.born && context_.leaving_since == 0 && context_.in_contact();
+  return context_.is_incarnation_durable && context_.leaving_since == 0 && context_.in_contact();
 }
 
 bool LeaseService::may_act(std::string const& role, Seconds now, Seconds call_duration) const {
@@ -121,18 +121,18 @@
   std::size_t const slash = rest.find('/');
   std::string const role = rest.substr(0, slash);
   std::string const node = slash == std::string::npos ? "" : rest.substr(slash + 1);
-  if (leases_.count(role) == 0) return context_.write(http_request, error_response(404, "no such duty: " + role));
+  if (leases_.count(role) == 0) return context_.api.write(http_request, error_response(404, "no such duty: " + role));
   HandOverLease const order{role, node};
   PendingHandOver const pending{order, http_request, steady_now() + context_.patience()};
   carry(context_.submit, order, context_.patience(), [this, pending](CommandResult const& result) {
-    if (result.ruling == CommandStatus::taken) return context_.write(pending.http_request, answer_of(result));
+    if (result.ruling == CommandStatus::taken) return context_.api.write(pending.http_request, answer_of(result));
     start_hand_over(pending);
   });
 }
 
 void LeaseService::start_hand_over(PendingHandOver pending) {
   if (std::optional<std::string> const obstacle = request_hand_over(pending.order))
-    return context_.write(pending.http_request, error_response(503, *obstacle));
+    return context_.api.write(pending.http_request, error_response(503, *obstacle));
   hand_overs_.push_back(std::move(pending));
 }
 
@@ -143,7 +143,7 @@
   if (lease == nullptr) return "nobody has the duty yet";
   LeaseClient& client = leases_.at(order.duty).client;
   if (client.hand_over(order.node) || client.handing()) return std::nullopt;
-  if (lease->ip == context_.settings.ip || !context_.up(lease->ip)) return "its holder is not in touch";
+  if (lease->ip == context_.settings.ip || !context_.peers.is_up(lease->ip)) return "its holder is not in touch";
   HandOverCommand command;
   command.duty = order.duty;
   command.node = order.node;
@@ -156,7 +156,7 @@
   if (node == context_.settings.nodeName) return true;
   if (node.empty()) return false;
   return std::any_of(context_.controllers.begin(), context_.controllers.end(),
-                     [&](auto const& entry) { return entry.second.node == node && context_.up(entry.first); });
+                     [&](auto const& entry) { return entry.second.node == node && context_.peers.is_up(entry.first); });
 }
 
 /// Answers the calls whose lease has arrived by the committed value, and those whose time is up.
@@ -165,7 +165,7 @@
     CommandResult const result =
         context_.committed ? pending.order.judge(*context_.committed) : unsettled("no value yet");
     if (result.ruling != CommandStatus::taken && now < pending.deadline_at) return false;
-    context_.write(pending.http_request, answer_of(result));
+    context_.api.write(pending.http_request, answer_of(result));
     return true;
   });
 }
@@ -181,7 +181,7 @@
 
 bool LeaseService::can_succeed(Member const& member) const {
   auto const it = context_.controllers.find(member.ip);
-  return member.ip != context_.settings.ip && it != context_.controllers.end() && context_.up(member.ip) &&
+  return member.ip != context_.settings.ip && it != context_.controllers.end() && context_.peers.is_up(member.ip) &&
          it->second.fit && !it->second.node.empty();
 }
 
--- a/packages/controller/membership_service.cpp
+++ b/packages/controller/membership_service.cpp
@@ -1,237 +1,350 @@
 #include "controller/membership_service.hpp"
 
+#include <algorithm>
+#include <cmath>
+
 namespace dockbend {
 
-MembershipService::MembershipService(ControllerContext& h, IdempotencyService& k, Seconds now)
-    : context_(h), idempotency_(k), watch_(plan(h.settings.bounds), now), join_at_(now + 0.3 + 1.2 * random01()) {}
+namespace {
 
-void MembershipService::tick(Seconds now) {
-  if (last_ > 0 && now - last_ > 1.0) watch_.forgive(now);
-  last_ = now;
-  if (!context_.committed) return;
-  if (context_.committed->epoch != seen_ || !any_) see(now);
-  if (!context_.in_contact()) watch_.forgive(now);
-  for (auto const& [ip, m] : context_.controllers)
-    if (m.link && m.link->up()) watch_.heard(ip, std::max(m.heard, m.link->heard()));
-  join(now);
-  replace(now);
-  leave(now);
-}
+constexpr std::size_t kMaxRetired = 64;  // the oldest is forgotten: it may then come back
+constexpr Seconds kStallSeconds = 1.0;   // between two ticks: this process itself did not run
+constexpr Seconds kJoinPatienceSeconds = 2.0;
+constexpr Seconds kReplacePatienceSeconds = 2.0;
+constexpr Seconds kLeavePatienceSeconds = 1.0;
+constexpr Seconds kExitReserveSeconds = 1.5;  // of the grace period, for the end of the process
+constexpr u32 kControllerRole = 1;
 
-void MembershipService::hurry() {
-  join_at_ = 0;
+/// What came of an operator's removal of a member.
+struct RemovalResult {
+  bool is_known = true;
+  std::string refusal;  // empty: removed
+};
+
+bool is_retired_address(ReplicatedState const& state, std::string const& ip) {
+  return std::any_of(state.retired.begin(), state.retired.end(),
+                     [&](RetiredMember const& retired) { return retired.ip == ip; });
 }
 
-void MembershipService::admit(Member const& me) {
-  context_.submit([me](ReplicatedState& s) { return s.admit(me); }, [](ReplicatedState const*) {}, 2.0);
+/// Removes a member and keeps it from coming back by itself; false: the state is unchanged.
+bool retire(ReplicatedState& state, std::string const& ip, FailureTolerance const& tolerance, RemovalResult& result) {
+  Member const* const member = state.member(ip);
+  result.refusal.clear();
+  result.is_known = member != nullptr || is_retired_address(state, ip);
+  if (member == nullptr) return false;
+  RetiredMember retired;
+  retired.ip = ip;
+  retired.incarnation = member->incarnation;
+  if (!take_out(state, ip, retired.incarnation, tolerance, result.refusal)) return false;
+  state.retired.push_back(retired);
+  while (state.retired.size() > kMaxRetired)
+    state.retired.erase(state.retired.begin());
+  return true;
 }
 
-bool MembershipService::holds_up(Seconds now) const {
-  return context_.leaving_since > 0 && !left_ && heir(now) &&
-         now - context_.leaving_since < context_.settings.bounds.gracePeriodS - 1.5;
+/// Dismisses the silent member if nothing about it and its successor has changed meanwhile.
+bool swap_members(ReplicatedState& state, MembershipMonitor::Swap const& swap) {
+  Member const* const successor = state.member(swap.by.ip);
+  Member const* const silent = state.member(swap.gone.ip);
+  return successor != nullptr && successor->whole && successor->same_disk(swap.by) && silent != nullptr &&
+         silent->since == swap.gone.since && state.dismiss(swap.gone.ip, swap.gone.incarnation);
 }
 
-void MembershipService::term(Seconds now) {
-  if (heir(now))
-    LOG4CPLUS_INFO(logger_, "A node of zone " << context_.settings.zone << " came in our place: we leave the roster.");
+}  // namespace
+
+MembershipService::MembershipService(ControllerContext& context, IdempotencyService& idempotency, Seconds now)
+    : context_(context),
+      idempotency_(idempotency),
+      monitor_(monitor_options(context.settings.bounds), now),
+      next_join_at_(now + 0.3 + 1.2 * random01()) {}
+
+MembershipMonitorOptions MembershipService::monitor_options(Bounds const& bounds) {
+  MembershipMonitorOptions options;
+  options.silent = std::max(1.0, 0.5 * bounds.convergeS);
+  options.recent = bounds.convergeS + bounds.gracePeriodS;
+  options.horizon = bounds.keyHorizonS * 1.25 + 10;
+  return options;
 }
 
-MembershipMonitorOptions MembershipService::plan(Bounds const& b) {
-  MembershipMonitorOptions p;
-  p.silent = std::max(1.0, 0.5 * b.convergeS);
-  p.recent = b.convergeS + b.gracePeriodS;
-  p.horizon = b.keyHorizonS * 1.25 + 10;
-  return p;
+void MembershipService::tick(Seconds now) {
+  if (last_tick_at_ > 0 && now - last_tick_at_ > kStallSeconds) monitor_.forgive(now);
+  last_tick_at_ = now;
+  if (!context_.committed) return;
+  if (context_.committed->epoch != seen_epoch_ || !has_seen_membership_) on_membership_changed(now);
+  if (!context_.in_contact()) monitor_.forgive(now);
+  for (auto const& [ip, peer] : context_.controllers)
+    if (peer.link && peer.link->up()) monitor_.heard(ip, std::max(peer.heard, peer.link->heard()));
+  join_if_due(now);
+  replace_silent_member(now);
+  leave_if_replaced(now);
 }
 
-FailureTolerance MembershipService::tolerance() const {
-  return {static_cast<u32>(context_.settings.toleranceMachines), static_cast<u32>(context_.settings.toleranceZones),
-          static_cast<u32>(context_.settings.toleranceRegions)};
+void MembershipService::on_membership_changed(Seconds now) {
+  bool const was_member = has_seen_membership_ && is_member_;
+  monitor_.see(*context_.committed, now);
+  seen_epoch_ = context_.committed->epoch;
+  has_seen_membership_ = true;
+  is_member_ = own_entry() != nullptr;
+  if (was_member && !is_member_ && context_.leaving_since == 0)
+    LOG4CPLUS_WARN(logger_, "This controller was removed from the membership. Its votes on keys no longer count.");
+  next_join_at_ = std::min(next_join_at_, now + 0.3 * random01());
 }
 
-Member const* MembershipService::me() const {
-  Member const* m = context_.committed ? context_.committed->member(context_.settings.ip) : nullptr;
-  return m != nullptr && m->incarnation == context_.acceptor->incarnation() ? m : nullptr;
+/// Our entry in the committed membership; null if that does not name our disk's incarnation.
+Member const* MembershipService::own_entry() const {
+  Member const* const member = context_.committed ? context_.committed->member(context_.settings.ip) : nullptr;
+  return member != nullptr && member->incarnation == context_.acceptor->incarnation() ? member : nullptr;
 }
 
-char const* MembershipService::state_of(Member const& m) const {
-  if (m.ip == context_.settings.ip && context_.leaving_since > 0) return "leaving";
-  return !context_.up(m.ip) ? "silent" : m.whole ? "whole" : "catching up";
+FailureTolerance MembershipService::tolerance() const {
+  Settings const& settings = context_.settings;
+  return {static_cast<u32>(settings.toleranceMachines), static_cast<u32>(settings.toleranceZones),
+          static_cast<u32>(settings.toleranceRegions)};
 }
 
-void MembershipService::see(Seconds now) {
-  bool const was = any_ && in_;
-  watch_.see(*context_.committed, now);
-  seen_ = context_.committed->epoch;
-  any_ = true;
-  in_ = me() != nullptr;
-  if (was && !in_ && context_.leaving_since == 0)
-    LOG4CPLUS_WARN(logger_, "We were taken out of the roster. What we held of keys counts no more.");
-  join_at_ = std::min(join_at_, now + 0.3 * random01());
+/// Keys that were won under a larger membership bind no more, if the round finds the epoch that has stood for the time
+/// for which a key binds.
+void MembershipService::forget_larger_memberships(ReplicatedState& state, std::optional<Epoch> const& settled) {
+  if (settled && state.epoch == *settled) state.largest_membership = static_cast<u32>(state.membership.size());
 }
 
-void MembershipService::forget_wider(ReplicatedState& s, std::optional<Epoch> const& settled) {
-  if (settled && s.epoch == *settled) s.largest_membership = static_cast<u32>(s.membership.size());
+// ---- joining ----------------------------------------------------------------------------------------------------
+
+void MembershipService::admit(Member const& member) {
+  context_.submit([member](ReplicatedState& state) { return state.admit(member); }, [](ReplicatedState const*) {},
+                  kJoinPatienceSeconds);
 }
 
-std::string MembershipService::usher() const {
-  for (Member const& m : context_.committed->membership)
-    if (context_.up(m.ip)) return m.ip == context_.settings.ip ? std::string() : m.ip;
+/// The member that admits others: the first of the membership that is up. Empty: that is this controller, or nobody.
+std::string MembershipService::admitting_member() const {
+  for (Member const& member : context_.committed->membership)
+    if (context_.peers.is_up(member.ip)) return member.ip == context_.settings.ip ? std::string() : member.ip;
   return "";
 }
 
-void MembershipService::join(Seconds now) {
-  if (!context_.born || context_.leaving_since > 0 || now < join_at_) return;
-  Incarnation const incarnation = context_.acceptor->incarnation();
-  if (context_.committed->is_retired(context_.settings.ip, incarnation)) return;
-  Member const* m = me();
-  bool const whole = idempotency_.ledger().whole();
-  if (m != nullptr && !m->zone.empty() && m->whole == whole) return;
-  join_at_ = now + 0.6 + 0.6 * random01();
-  Member x;
-  x.ip = context_.settings.ip;
-  x.incarnation = incarnation;
-  x.zone = context_.settings.zone;
-  x.region = context_.settings.region;
-  auto const it = context_.settings.bind.find("control");
-  x.control = it == context_.settings.bind.end() ? 0 : it->second.port;
-  x.whole = whole && m != nullptr;
-  if (m != nullptr) x.since = m->since;
-  // One node brings many joins through in one round; who waits in vain does it itself.
-  if (std::string const by = usher(); !asked_usher_ && !by.empty()) {
-    asked_usher_ = true;
-    context_.controllers[by].link->send(MessageType::join_request, 0, x);
+Member MembershipService::wanted_own_entry() const {
+  Settings const& settings = context_.settings;
+  Member const* const current = own_entry();
+  Member wanted;
+  wanted.ip = settings.ip;
+  wanted.incarnation = context_.acceptor->incarnation();
+  wanted.zone = settings.zone;
+  wanted.region = settings.region;
+  wanted.control = settings.bind.count("control") == 0 ? 0 : settings.bind.at("control").port;
+  wanted.whole = idempotency_.ledger().whole() && current != nullptr;
+  if (current != nullptr) wanted.since = current->since;
+  return wanted;
+}
+
+/// Goal: the membership names our disk as it is.
+void MembershipService::join_if_due(Seconds now) {
+  if (!context_.is_incarnation_durable || context_.leaving_since > 0 || now < next_join_at_) return;
+  if (context_.committed->is_retired(context_.settings.ip, context_.acceptor->incarnation())) return;
+  Member const* const current = own_entry();
+  if (current != nullptr && !current->zone.empty() && current->whole == idempotency_.ledger().whole()) return;
+  next_join_at_ = now + 0.6 + 0.6 * random01();
+  Member const wanted = wanted_own_entry();
+  // One member brings many joins through in one round; who waits in vain does it itself.
+  if (std::string const by = admitting_member(); !has_asked_admitting_member_ && !by.empty()) {
+    has_asked_admitting_member_ = true;
+    context_.controllers[by].link->send(MessageType::join_request, 0, wanted);
     return;
   }
-  asked_usher_ = false;
-  admit(x);
+  has_asked_admitting_member_ = false;
+  admit(wanted);
 }
 
-void MembershipService::replace(Seconds now) {
-  if (swapping_ || context_.leaving_since > 0 || me() == nullptr || !context_.in_contact()) return;
-  auto const x = watch_.swap(*context_.committed, context_.settings.ip, now);
-  if (!x || (!usher().empty() && watch_.silence(x->gone.ip, now) < 2 * plan(context_.settings.bounds).silent)) return;
-  swapping_ = true;
-  auto const out = std::make_shared<bool>(false);
+// ---- replacing --------------------------------------------------------------------------------------------------
+
+/// Goal: no member that is gone and was replaced. The first member that is up sees to it; the others only once that one
+/// had its time.
+void MembershipService::replace_silent_member(Seconds now) {
+  if (is_replacing_ || context_.leaving_since > 0 || own_entry() == nullptr || !context_.in_contact()) return;
+  auto const swap = monitor_.swap(*context_.committed, context_.settings.ip, now);
+  if (!swap) return;
+  Seconds const others_turn_after = 2 * monitor_options(context_.settings.bounds).silent;
+  if (!admitting_member().empty() && monitor_.silence(swap->gone.ip, now) < others_turn_after) return;
+  is_replacing_ = true;
+  auto const is_swapped = std::make_shared<bool>(false);
   context_.submit(
-      [x = *x, e = watch_.settled(now), out](ReplicatedState& s) {
-        forget_wider(s, e);
-        Member const* const by = s.member(x.by.ip);
-        Member const* const m = s.member(x.gone.ip);
-        *out = by != nullptr && by->whole && by->same_disk(x.by) && m != nullptr && m->since == x.gone.since &&
-               s.dismiss(x.gone.ip, x.gone.incarnation);
-        return *out;
+      [swap = *swap, settled = monitor_.settled(now), is_swapped](ReplicatedState& state) {
+        forget_larger_memberships(state, settled);
+        *is_swapped = swap_members(state, swap);
+        return *is_swapped;
       },
-      [this, x = *x, out](ReplicatedState const* s) {
-        swapping_ = false;
-        if (s == nullptr || !*out) return;
-        watch_.used(x.by.ip);
+      [this, swap = *swap, is_swapped](ReplicatedState const* state) {
+        is_replacing_ = false;
+        if (state == nullptr || !*is_swapped) return;
+        monitor_.used(swap.by.ip);
         LOG4CPLUS_INFO(logger_,
-                       "Member " << x.gone.ip << " was silent and is out; " << x.by.ip << " stands in its place.");
+                       "Member " << swap.gone.ip << " was silent and is removed; " << swap.by.ip << " replaces it.");
       },
-      2.0);
+      kReplacePatienceSeconds);
 }
 
-bool MembershipService::heir(Seconds now) const {
-  if (!context_.committed || me() == nullptr) return false;
-  if (watch_.newcomer(*context_.committed, context_.settings.zone, context_.settings.ip, now) != nullptr) return true;
-  for (auto const& [id, p] : context_.sessions)
-    if (p.hello.role == 1 && p.hello.zone == context_.settings.zone && p.hello.ip != context_.settings.ip && p.ch &&
-        p.ch->up() && context_.committed->member(p.hello.ip) == nullptr)
-      return true;
-  return false;
+// ---- leaving ----------------------------------------------------------------------------------------------------
+
+/// Whether another controller of our zone joined lately, or is connected to us and not a member yet.
+bool MembershipService::has_successor(Seconds now) const {
+  if (!context_.committed || own_entry() == nullptr) return false;
+  Settings const& own = context_.settings;
+  if (monitor_.newcomer(*context_.committed, own.zone, own.ip, now) != nullptr) return true;
+  return std::any_of(context_.sessions.begin(), context_.sessions.end(), [&](auto const& entry) {
+    InboundSession const& session = entry.second;
+    HandshakeRequest const& hello = session.hello;
+    return hello.role == kControllerRole && hello.zone == own.zone && hello.ip != own.ip && session.ch &&
+           session.ch->up() && context_.committed->member(hello.ip) == nullptr;
+  });
 }
 
-void MembershipService::leave(Seconds now) {
-  if (context_.leaving_since == 0 || left_ || asking_) return;
-  if (me() == nullptr) {
-    left_ = any_;
+bool MembershipService::is_leave_pending(Seconds now) const {
+  return context_.leaving_since > 0 && !is_leave_settled_ && has_successor(now) &&
+         now - context_.leaving_since < context_.settings.bounds.gracePeriodS - kExitReserveSeconds;
+}
+
+void MembershipService::on_term(Seconds now) {
+  if (has_successor(now))
+    LOG4CPLUS_INFO(logger_, "Another controller of zone " << context_.settings.zone
+                                                          << " replaces this one, which leaves the membership.");
+}
+
+/// Goal while we leave for good: the stored answers handed on, then out of the membership.
+void MembershipService::leave_if_replaced(Seconds now) {
+  if (context_.leaving_since == 0 || is_leave_settled_ || is_leave_submitted_) return;
+  if (own_entry() == nullptr) {
+    is_leave_settled_ = has_seen_membership_;
     return;
   }
-  Member const* const y = watch_.newcomer(*context_.committed, context_.settings.zone, context_.settings.ip, now);
-  if (y == nullptr || !y->whole) return;
-  if (now - context_.leaving_since < 0.5 * context_.settings.bounds.gracePeriodS && !idempotency_.hand_on(y->ip))
-    return;
-  asking_ = true;
-  auto const why = std::make_shared<std::string>();
+  Settings const& own = context_.settings;
+  Member const* const successor = monitor_.newcomer(*context_.committed, own.zone, own.ip, now);
+  if (successor == nullptr || !successor->whole) return;
+  bool const has_time_to_hand_on = now - context_.leaving_since < 0.5 * own.bounds.gracePeriodS;
+  if (has_time_to_hand_on && !idempotency_.hand_on(successor->ip)) return;
+  submit_leave(now);
+}
+
+void MembershipService::submit_leave(Seconds now) {
+  is_leave_submitted_ = true;
+  auto const refusal = std::make_shared<std::string>();
   context_.submit(
-      [ip = context_.settings.ip, incarnation = context_.acceptor->incarnation(), t = tolerance(), why,
-       e = watch_.settled(now)](ReplicatedState& s) {
-        forget_wider(s, e);
-        return take_out(s, ip, incarnation, t, *why);
+      [ip = context_.settings.ip, incarnation = context_.acceptor->incarnation(), tolerance = tolerance(), refusal,
+       settled = monitor_.settled(now)](ReplicatedState& state) {
+        forget_larger_memberships(state, settled);
+        return take_out(state, ip, incarnation, tolerance, *refusal);
       },
-      [this, why](ReplicatedState const* s) {
-        asking_ = false;
-        if (s == nullptr) return;
-        left_ = true;  // out, or not to go: a restart then
-        if (why->empty())
-          LOG4CPLUS_INFO(logger_, "We left the roster.");
+      [this, refusal](ReplicatedState const* state) {
+        is_leave_submitted_ = false;
+        if (state == nullptr) return;
+        is_leave_settled_ = true;
+        if (refusal->empty())
+          LOG4CPLUS_INFO(logger_, "We left the membership.");
         else
-          LOG4CPLUS_WARN(logger_, "We stay in the roster: " << *why << ".");
+          LOG4CPLUS_WARN(logger_, "We stay in the roster: " << *refusal << ".");  // named so in docs/operating.md
       },
-      1.0);
+      kLeavePatienceSeconds);
 }
 
-void MembershipService::remove(evhttp_request* r, std::string const& ip) {
-  if (context_.leaving_since > 0) return context_.write(r, error_response(503, "leaving"));
-  struct Out {
-    bool known = true;
-    std::string why;
-  };
-  auto const o = std::make_shared<Out>();
+// ---- control API ------------------------------------------------------------------------------------------------
+
+void MembershipService::remove(evhttp_request* request, std::string const& ip) {
+  if (context_.leaving_since > 0) return context_.api.write(request, error_response(503, "leaving"));
+  auto const result = std::make_shared<RemovalResult>();
   context_.submit(
-      [ip, o, t = tolerance(), e = watch_.settled(steady_now())](ReplicatedState& s) {
-        forget_wider(s, e);
-        Member const* const m = s.member(ip);
-        o->why.clear();
-        o->known = m != nullptr ||
-                   std::any_of(s.retired.begin(), s.retired.end(), [&](RetiredMember const& x) { return x.ip == ip; });
-        if (m == nullptr) return false;
-        RetiredMember x;
-        x.ip = ip;
-        x.incarnation = m->incarnation;
-        if (!take_out(s, ip, x.incarnation, t, o->why)) return false;
-        s.retired.push_back(x);
-        while (s.retired.size() > most_retired)
-          s.retired.erase(s.retired.begin());
-        return true;
+      [ip, result, tolerance = tolerance(), settled = monitor_.settled(steady_now())](ReplicatedState& state) {
+        forget_larger_memberships(state, settled);
+        return retire(state, ip, tolerance, *result);
       },
-      [this, r, ip, o](ReplicatedState const* s) {
-        if (s == nullptr) return context_.write(r, error_response(503, "no majority in time"));
-        if (!o->known) return context_.write(r, error_response(404, "no such member: " + ip));
-        if (!o->why.empty()) return context_.write(r, error_response(409, ip + " stays: " + o->why));
-        context_.write(r, ApiResponse{200, "{}"});
+      [this, request, ip, result](ReplicatedState const* state) {
+        if (state == nullptr) return context_.api.write(request, error_response(503, "no majority in time"));
+        if (!result->is_known) return context_.api.write(request, error_response(404, "no such member: " + ip));
+        if (!result->refusal.empty())
+          return context_.api.write(request, error_response(409, ip + " stays: " + result->refusal));
+        context_.api.write(request, ApiResponse{200, "{}"});
       },
       context_.patience());
 }
 
-void MembershipService::add(evhttp_request* r, std::string const& ip) {
-  if (context_.leaving_since > 0) return context_.write(r, error_response(503, "leaving"));
-  auto const known = std::make_shared<bool>(false);
+void MembershipService::add(evhttp_request* request, std::string const& ip) {
+  if (context_.leaving_since > 0) return context_.api.write(request, error_response(503, "leaving"));
+  auto const is_known = std::make_shared<bool>(false);
   context_.submit(
-      [ip, known](ReplicatedState& s) {
-        std::size_t const n = std::erase_if(s.retired, [&](RetiredMember const& x) { return x.ip == ip; });
-        *known = *known || n > 0 || s.member(ip) != nullptr;  // a round that stood unseen is met again
-        return n > 0;
+      [ip, is_known](ReplicatedState& state) {
+        std::size_t const erased =
+            std::erase_if(state.retired, [&](RetiredMember const& retired) { return retired.ip == ip; });
+        // Kept from earlier calls: a round that was committed without our knowing is run again on its result.
+        *is_known = *is_known || erased > 0 || state.member(ip) != nullptr;
+        return erased > 0;
       },
-      [this, r, ip, known](ReplicatedState const* s) {
-        if (s == nullptr) return context_.write(r, error_response(503, "no majority in time"));
-        // Nobody needs to be told beforehand: a new node comes in by itself.
-        if (!*known && context_.controllers.count(ip) == 0)
-          return context_.write(r,
-                                error_response(404, ip + " has not been heard of; start it and it comes in by itself"));
-        context_.write(r, ApiResponse{200, "{}"});
+      [this, request, ip, is_known](ReplicatedState const* state) {
+        if (state == nullptr) return context_.api.write(request, error_response(503, "no majority in time"));
+        // A new controller needs no call: it joins by itself.
+        if (!*is_known && context_.controllers.count(ip) == 0)
+          return context_.api.write(
+              request, error_response(404, ip + " has not been heard of; start it and it comes in by itself"));
+        context_.api.write(request, ApiResponse{200, "{}"});
       },
       context_.patience());
 }
 
 std::string MembershipService::list() const {
-  rapidjson::StringBuffer sb;
-  rapidjson::Writer<rapidjson::StringBuffer> w(sb);
-  w.StartObject();
-  write_members(w);
-  w.EndObject();
-  return std::string(sb.GetString(), sb.GetSize());
+  rapidjson::StringBuffer buffer;
+  Writer writer(buffer);
+  writer.StartObject();
+  write_members(writer);
+  writer.EndObject();
+  return std::string(buffer.GetString(), buffer.GetSize());
+}
+
+char const* MembershipService::state_name(Member const& member) const {
+  if (member.ip == context_.settings.ip && context_.leaving_since > 0) return "leaving";
+  return !context_.peers.is_up(member.ip) ? "silent" : member.whole ? "whole" : "catching up";
+}
+
+void MembershipService::write_members(Writer& writer) const {
+  Seconds const now = steady_now();
+  writer.Key("members");
+  writer.StartArray();
+  if (context_.committed)
+    for (Member const& member : context_.committed->membership)
+      write_member(writer, member, now);
+  writer.EndArray();
+  writer.Key("removed");
+  writer.StartArray();
+  if (context_.committed)
+    for (RetiredMember const& retired : context_.committed->retired)
+      writer.String(retired.ip.c_str());
+  writer.EndArray();
+  writer.Key("bears");
+  writer.StartObject();
+  if (context_.committed) {
+    FailureMargin const margin = margin_of(*context_.committed, tolerance());
+    writer.Key("machines");
+    writer.Bool(margin.machines >= 0);
+    writer.Key("zones");
+    writer.Bool(margin.zones >= 0);
+    writer.Key("regions");
+    writer.Bool(margin.regions >= 0);
+  }
+  writer.EndObject();
+}
+
+void MembershipService::write_member(Writer& writer, Member const& member, Seconds now) const {
+  writer.StartObject();
+  writer.Key("address");
+  writer.String(member.ip.c_str());
+  writer.Key("zone");
+  writer.String(member.zone.c_str());
+  writer.Key("region");
+  writer.String(member.region.c_str());
+  writer.Key("up");
+  writer.Bool(context_.peers.is_up(member.ip));
+  writer.Key("state");
+  writer.String(state_name(member));
+  writer.Key("silentS");  // to a tenth of a second
+  writer.Double(context_.peers.is_up(member.ip) ? 0 : std::round(monitor_.silence(member.ip, now) * 10) / 10);
+  writer.Key("since");
+  writer.Uint64(member.since.v);
+  writer.EndObject();
 }
 
 }  // namespace dockbend
--- a/packages/controller/outbound_peers.cpp
+++ b/packages/controller/outbound_peers.cpp
@@ -48,10 +48,10 @@
 }
 
 void OutboundPeers::tick_links(Seconds now) {
-  bool const are_many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
+  bool const are_many = context_.peers.exceeds_full_mesh();
   for (auto& [ip, peer] : context_.controllers) {
     if (!peer.link) continue;
-    LinkPace const& pace = !are_many || context_.is_near(ip) ? kNearPace : kFarPace;
+    LinkPace const& pace = !are_many || context_.peers.is_near(ip) ? kNearPace : kFarPace;
     peer.link->pace(pace.ping, pace.silence);
     peer.link->tick(now);
     if (peer.link->up()) peer.heard = std::max(peer.heard, peer.link->heard());
@@ -62,13 +62,13 @@
   link.send(MessageType::handshake_request, 0, own_handshake());
   PeerController& peer = context_.controllers[ip];
   peer.heard = steady_now();
-  peer.told_known.clear();
+  peer.sent_addresses.clear();
   services_.consensus.on_link_up(ip, link);
   context_.contact.connected(ip);
   prober_.probe(ip, link, steady_now());
   // The peer may have started anew, so it gets all servers known here. One with nearer peers gets them from those; a
   // difference that lasts is repaired by digests.
-  if (context_.is_near(ip)) services_.registry.spread_all(link);
+  if (context_.peers.is_near(ip)) services_.registry.spread_all(link);
 }
 
 HandshakeRequest OutboundPeers::own_handshake() const {
--- a/packages/controller/quota_service.cpp
+++ b/packages/controller/quota_service.cpp
@@ -87,9 +87,9 @@
 
 void QuotaService::allowance_call(evhttp_request* http_request, std::string const& tenant, std::string const& uri) {
   if (!tenant.empty() && !has_rate_limit(tenant)) return refuse_unknown(http_request, tenant, uri);
-  if (!leases_.holds(kQuotaRole)) return context_.write(http_request, redirect_to_allocator(uri));
+  if (!leases_.holds(kQuotaRole)) return context_.api.write(http_request, redirect_to_allocator(uri));
   Seconds const now = steady_now();
-  context_.write(http_request, ApiResponse{200, tenant.empty() ? list_json(now) : tenant_json(tenant, now)});
+  context_.api.write(http_request, ApiResponse{200, tenant.empty() ? list_json(now) : tenant_json(tenant, now)});
 }
 
 /// A refusal is final for the caller, so it has to rest on a value that was read from a majority.
@@ -97,11 +97,11 @@
   context_.submit([](ReplicatedState&) { return false; },
                   [this, http_request, tenant, uri](ReplicatedState const* state) {
                     if (state == nullptr)
-                      return context_.write(http_request, error_response(503, "no majority in time"));
+                      return context_.api.write(http_request, error_response(503, "no majority in time"));
                     if (has_rate_limit(tenant)) return allowance_call(http_request, tenant, uri);
                     bool const is_known = context_.tenants.tenant(tenant) != nullptr;
                     std::string const why = is_known ? "tenant without an allowance: " : "no such tenant: ";
-                    context_.write(http_request, error_response(404, why + tenant));
+                    context_.api.write(http_request, error_response(404, why + tenant));
                   },
                   context_.patience());
 }
--- a/packages/controller/registry_service.cpp
+++ b/packages/controller/registry_service.cpp
@@ -1,5 +1,7 @@
 #include "controller/registry_service.hpp"
 
+#include "controller/api_calls.hpp"
+
 namespace dockbend {
 
 RegistryService::RegistryService(ControllerContext& h) : context_(h) {}
@@ -65,7 +67,7 @@
   drained(r);
   Seconds const now = steady_now();
   if (roll_.beat(r, context_.settings.ip, now)) spread({*roll_.get(id, now)}, "");
-  if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
+  if (!context_.in_contact()) return redirect_to_controller_in_contact(context_, uri);
   schema::HeartbeatResponse ret;
   std::string const t = beat_target(b.zone);
   if (!t.empty()) ret.beatTarget = t;
@@ -82,7 +84,7 @@
   r.state = ServerState::gone;
   r.seq = kDepartedSequence;
   if (roll_.join(r, now)) spread({r}, "");
-  if (!context_.in_contact()) return context_.redirect_to_controller_in_contact(uri);
+  if (!context_.in_contact()) return redirect_to_controller_in_contact(context_, uri);
   return {200, "{}"};
 }
 
@@ -104,7 +106,7 @@
 void RegistryService::orders_changed() {
   Seconds const now = steady_now();
   std::vector<ServerRecord> news;
-  for (auto const& [name, u] : context_.out) {
+  for (auto const& [name, u] : context_.drained_units) {
     auto const e = roll_.get(name, now);
     if (!e || e->state != ServerState::ready) continue;
     ServerRecord r = *e;
@@ -141,7 +143,7 @@
 }
 
 void RegistryService::drained(ServerRecord& r) const {
-  if (r.state == ServerState::ready && context_.out.count(r.id) > 0) r.state = ServerState::draining;
+  if (r.state == ServerState::ready && context_.drained_units.count(r.id) > 0) r.state = ServerState::draining;
 }
 
 void RegistryService::spread_to(PeerLink& l, std::vector<ServerRecord> const& v) {
@@ -154,7 +156,7 @@
 void RegistryService::flush_rows() {
   flushing_ = false;
   Seconds const now = steady_now();
-  bool const many = context_.connected_controllers() > ControllerContext::kMaxFullMesh;
+  bool const many = context_.peers.exceeds_full_mesh();
   // all: for those we feed. home: for the mates of our region, or for every mate if they are
   // few. abroad: begun here, for two mates in each other region. back: heard from a near mate;
   // one copy goes abroad, so that no single mate is what a region hangs on.
@@ -162,7 +164,7 @@
   for (auto const& [id, from] : pending_) {
     auto r = roll_.get(id, now);
     if (!r) continue;
-    bool const near = !from.empty() && context_.is_near(from);
+    bool const near = !from.empty() && context_.peers.is_near(from);
     if (many) {
       if (!near) home.rows.push_back(*r);
       if (from.empty())
@@ -184,10 +186,10 @@
   std::map<std::string, std::vector<PeerLink*>> far;
   for (auto& [ip, m] : context_.controllers)
     if (m.link && m.link->up()) {
-      if (!many || context_.is_near(ip))
+      if (!many || context_.peers.is_near(ip))
         near.push_back(m.link.get());
       else
-        far[context_.region_of_controller(ip)].push_back(m.link.get());
+        far[context_.peers.region_of(ip)].push_back(m.link.get());
     }
   auto tell = [](StateUpdate const& n, std::vector<PeerLink*> const& to) {
     if (n.rows.empty() || to.empty()) return;
@@ -214,7 +216,7 @@
   std::string const region = context_.settings.region_of(zone);
   for (Member const& m : context_.committed->membership) {
     int const t = m.zone == zone ? 0 : m.region == region ? 1 : 2;
-    if (t < 2 && t < best_tier && context_.up(m.ip) && m.control > 0) {
+    if (t < 2 && t < best_tier && context_.peers.is_up(m.ip) && m.control > 0) {
       best = &m;
       best_tier = t;
     }
--- a/packages/controller/rollout_service.cpp
+++ b/packages/controller/rollout_service.cpp
@@ -1,5 +1,7 @@
 #include "controller/rollout_service.hpp"
 
+#include "controller/api_calls.hpp"
+
 #include <algorithm>
 #include <cmath>
 
@@ -91,11 +93,11 @@
   try {
     change = read_amend(body);
   } catch (json::Fault const& e) {
-    return context_.write(http_request, error_response(400, e.what()));
+    return context_.api.write(http_request, error_response(400, e.what()));
   }
-  if (context_.leaving_since > 0) return context_.write(http_request, error_response(503, "leaving"));
+  if (context_.leaving_since > 0) return context_.api.write(http_request, error_response(503, "leaving"));
   AmendConfiguration const command(change, context_.known());
-  if (!context_.settings.staged || !is_worth_staging(change)) return context_.order(http_request, command);
+  if (!context_.settings.staged || !is_worth_staging(change)) return run_command(context_, http_request, command);
   begin(http_request, command);
 }
 
@@ -185,12 +187,12 @@
   evhttp_request* const http_request = led.http_request;
   led.http_request = nullptr;
   carry(context_.submit, led.change, context_.patience(),
-        [this, http_request](CommandResult const& outcome) { context_.write(http_request, answer_of(outcome)); });
+        [this, http_request](CommandResult const& outcome) { context_.api.write(http_request, answer_of(outcome)); });
 }
 
 void RolloutService::answer(LedRollout& led, ApiResponse const& response) {
   if (led.http_request == nullptr) return;
-  context_.write(led.http_request, response);
+  context_.api.write(led.http_request, response);
   led.http_request = nullptr;
 }
 
@@ -239,7 +241,7 @@
 
 void RolloutService::command_call(evhttp_request* http_request, std::string const& id_text, RolloutCommand command) {
   std::optional<u64> const id = parse_id(id_text);
-  if (!id) return context_.write(http_request, error_response(400, "id: wants a number"));
+  if (!id) return context_.api.write(http_request, error_response(400, "id: wants a number"));
   if (auto const it = led_.find(*id); it != led_.end()) return command_led(http_request, it->second, command);
   redirect_to_leader(http_request, *id, std::string("/-/Rollout.") + call_of(command) + id_text);
 }
@@ -248,10 +250,10 @@
   Seconds const now = steady_now();
   if (!led.rollout.heed(command, now)) {
     std::string const why = std::string("rollout is ") + phase_str(led.rollout.phase());
-    return context_.write(http_request, error_response(409, why));
+    return context_.api.write(http_request, error_response(409, why));
   }
   advance(led, now);
-  context_.write(http_request, ApiResponse{200, "{}"});
+  context_.api.write(http_request, ApiResponse{200, "{}"});
 }
 
 /// Only the leader knows what became of a rollout. One that is not known here may be under way elsewhere,
@@ -259,13 +261,13 @@
 void RolloutService::redirect_to_leader(evhttp_request* http_request, u64 id, std::string const& path) {
   auto const it = led_elsewhere_.find(id);
   if (it == led_elsewhere_.end())
-    return context_.write(http_request, error_response(503, "id: no such rollout is known here"));
+    return context_.api.write(http_request, error_response(503, "id: no such rollout is known here"));
   Member const* leader = context_.committed ? context_.committed->member(it->second.at) : nullptr;
-  if (leader == nullptr || leader->ip == context_.settings.ip || !context_.up(leader->ip))
-    return context_.write(http_request, error_response(503, "the node that leads it is not in touch"));
+  if (leader == nullptr || leader->ip == context_.settings.ip || !context_.peers.is_up(leader->ip))
+    return context_.api.write(http_request, error_response(503, "the node that leads it is not in touch"));
   std::string const location = "http://" + Address{leader->ip, leader->control}.str() + path;
   evhttp_add_header(evhttp_request_get_output_headers(http_request), "Location", location.c_str());
-  context_.write(http_request, ApiResponse{307, "{}"});
+  context_.api.write(http_request, ApiResponse{307, "{}"});
 }
 
 std::string RolloutService::status_json() const {
@@ -355,7 +357,7 @@
 
 bool RolloutService::is_in_touch(ProxyEntry const& proxy, Seconds now) const {
   if (proxy.channel != 0) return context_.sessions.count(proxy.channel) > 0 && now - proxy.heard < kMaxSilenceHere;
-  return context_.up(proxy.via) && now - proxy.heard < kMaxSilenceElsewhere;
+  return context_.peers.is_up(proxy.via) && now - proxy.heard < kMaxSilenceElsewhere;
 }
 
 }  // namespace dockbend
--- a/packages/controller/survey_service.cpp
+++ b/packages/controller/survey_service.cpp
@@ -120,7 +120,7 @@
   if (it == pending_.end()) return;
   PendingSurvey const survey = std::move(it->second);
   pending_.erase(it);
-  context_.write(survey.http_request, ApiResponse{200, json::render(snapshot_of(survey))});
+  context_.api.write(survey.http_request, ApiResponse{200, json::render(snapshot_of(survey))});
 }
 
 FleetSnapshot SurveyService::snapshot_of(PendingSurvey const& survey) const {
