--- a/packages/model_checking/idempotency_events.cpp
+++ b/packages/model_checking/idempotency_events.cpp
@@ -1,7 +1,7 @@
 // What each event of the idempotency model does.
 #include <algorithm>
 
-#include "model_checking/consensus_model.hpp"
+#include "model_checking/model_values.hpp"
 #include "model_checking/idempotency_world.hpp"
 
 namespace dockbend::model_checking {
--- a/packages/model_checking/idempotency_world.cpp
+++ b/packages/model_checking/idempotency_world.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <optional>
 
-#include "model_checking/consensus_model.hpp"
+#include "model_checking/model_values.hpp"
 
 namespace dockbend::model_checking {
 namespace {
