--- a/packages/controller/include/controller/controller_context.hpp
+++ b/packages/controller/include/controller/controller_context.hpp
@@ -155,7 +155,7 @@
     if (c.code == 503) evhttp_add_header(out, "Retry-After", "0.3");
     evbuffer* b = evbuffer_new();
     evbuffer_add(b, c.body.data(), c.body.size());
-    evhttp_send_reply(r, c.code, reason_of(c.code), b);
+    evhttp_send_reply(r, c.code, reason_phrase(c.code), b);
     evbuffer_free(b);
   }
 };
--- a/packages/load_balancing/include/load_balancing/load_balancer.hpp
+++ b/packages/load_balancing/include/load_balancing/load_balancer.hpp
@@ -1,150 +1,138 @@
-// Which server gets an errand. No I/O. Names are dense indices here.
+/// Chooses the server of each request. No I/O. Names of services, zones and regions are dense indices here.
 #pragma once
 #include <map>
 #include <optional>
 #include <set>
+#include <string>
 #include <unordered_map>
 #include <vector>
 
+#include "load_balancing/endpoint.hpp"
 #include "load_balancing/retry_budget.hpp"
 #include "settings/settings.hpp"
 
 namespace dockbend {
 
-struct ServiceLimits {
-  double conn_limit = 64, cold_rate = 0;
-  Seconds cold_s = 0;
-};
-
-// One server as this proxy sees it. Invariants: out <= chans; nothing is assigned
-// to a server that is not ready, is misdirected, or stands in an evacuated zone.
-struct Endpoint {
-  std::string id, address;
-  ServiceIndex pool;
-  LocationIndex zone, region;
-  double capacity = 1;
-  bool ready = false, misdirected = false;
-  Seconds cold_until = 0;
-  SlowStartLimiter cold;
-  u32 out = 0, chans = 0, idle = 0;
-  double liking = 0;   // 0..1, by rendezvous: each proxy has its own few
-  double warming = 0;  // 0..1, by another draw: who warms it while it is cold
-  double bad = 0;      // smoothed share of errands here that came to nothing
-  Seconds bad_at = 0;
-  Seconds idle_safe = 60;  // channels idle for longer were found reset
-  Seconds idle_seen = 0;
-  double lat = 0;  // smoothed time of an answer, 0: none seen
-  double dev = 0;  // smoothed distance of answers from it
-  Seconds lat_at = 0;
-  u32 fails = 0;
-  Seconds shun_until = 0;  // passive health
-  u64 uses = 0;
-};
-
-// How near a server is: what ranks a choice before its load does.
-enum class Proximity : u8 { zone = 0, region = 1, far = 2 };
-
-struct EndpointQuery {
-  ServiceIndex pool;
-  std::vector<LocationIndex> const* homes = nullptr;  // regions; null or empty: any
-  std::vector<ServerIndex> const* attempted = nullptr;
-  bool bulky = false;  // its body is dear to carry far
-  Seconds latency_target = 0.5;
-};
-
-// Under load, what would come late anyway makes way early, the lowest ranks first:
-// rank 0 never, rank 1 at three times its aim, rank 2 at twice, and so on down to
-// once its aim.
-inline bool should_shed(u32 rank, Seconds expected, Seconds latency_target) {
-  return rank > 0 && expected > latency_target * (1.0 + 2.0 / rank);
-}
-
+/// All that one proxy knows of servers, and its choice among them. Time points are those of the steady clock.
 class LoadBalancer {
  public:
-  enum class No { none, full };
-  struct Choice {
-    std::optional<ServerIndex> ix;
-    No no = No::none;
-    Seconds est = 0;  // when an answer is likely, if ix
-  };
-
-  LoadBalancer(Settings const& st);
-
-  ServiceIndex pool(std::string const& name);
-  LocationIndex zone(std::string const& name);
-  LocationIndex region(std::string const& name);
-  void rule(ServiceIndex p, ServiceLimits r);
-
-  struct Seen {
+  /// settings must outlive the load balancer.
+  explicit LoadBalancer(Settings const& settings);
+
+  // ---- names ----
+  /// The index of a name; a new one is given an index.
+  ServiceIndex service_index(std::string const& name);
+  LocationIndex zone_index(std::string const& name);
+  LocationIndex region_index(std::string const& name);
+  std::string const& service_name(ServiceIndex service) const { return service_names_[service.v]; }
+  std::string const& zone_name(LocationIndex zone) const { return zone_names_[zone.v]; }
+
+  // ---- what is configured and known of servers and proxies ----
+  void set_limits(ServiceIndex service, ServiceLimits limits);
+  struct ServerUpdate {
     std::string id, service, address, zone;
     double capacity = 1;
     bool ready = false;
-    Seconds cold_left = 0;
+    Seconds warm_up_left = 0;
   };
-  // The whole table, as told. Servers not in it are forgotten once idle.
-  void table(std::vector<Seen> const& rows, Seconds now);
-  // Only what changed; a row that is not ready takes nothing more.
-  void change(std::vector<Seen> const& rows, Seconds now);
-  void evacuated(std::set<std::string> const& zones, Seconds now);
-  void sites(std::map<std::string, u32> const& by_zone);
-
-  Choice choose(EndpointQuery const& w, Seconds now);
-  void took(ServerIndex s, Seconds now);                          // an errand goes there
-  void gave(ServerIndex s, Seconds lat, bool good, Seconds now);  // it came back
-  void dropped(ServerIndex s);                                    // it ended with nothing learned
-  void shun(ServerIndex s, Seconds base, Seconds now);            // passive health
-  void full(ServerIndex s, Seconds now);
-  void failed(ServerIndex s, Seconds now);  // it answered that it could not
-  // A channel idle for so long was reset unanswered: others so old are not trusted.
-  void idle_lost(ServerIndex s, Seconds idle, Seconds now);
-  Seconds idle_safe(ServerIndex s, bool repeatable, Seconds now) const;
-  void misdirected(ServerIndex s);
-  void cold(ServerIndex s, Seconds left, Seconds now);
-
-  Endpoint& at(ServerIndex s) { return t_[s.v]; }
-  Endpoint const& at(ServerIndex s) const { return t_[s.v]; }
-  u32 chan_share(ServerIndex s) const;
-  double part() const;  // of bounds shared by all proxies
-  RetryBudget& budget(ServiceIndex p) { return budgets_.at(p.v); }
-  std::size_t live() const;
-  double lat_of(ServiceIndex p) const { return pool_lat_[p.v]; }
-  std::vector<ServerIndex> gone_idle() const;
-
-  // What others saw of a pool's speed, for one who has seen nothing yet.
-  void know_pool(ServiceIndex p, Seconds lat) { pool_lat_[p.v] = pool_lat_[p.v] * 0.9 + lat * 0.1; }
-  std::vector<Endpoint> const& targets() const { return t_; }
-  std::string const& pool_name(ServiceIndex p) const { return pool_names_[p.v]; }
-  std::string const& zone_name(LocationIndex z) const { return zone_names_[z.v]; }
-  double sites_of_all() const { return all_sites_; }
+  /// All servers. Those not named are forgotten once nothing of them is left.
+  void replace_servers(std::vector<ServerUpdate> const& servers, Seconds now);
+  /// Only what changed; a server that is not ready gets nothing more.
+  void update_servers(std::vector<ServerUpdate> const& servers, Seconds now);
+  void set_evacuated_zones(std::set<std::string> const& zones, Seconds now);
+  void set_proxy_counts(std::map<std::string, u32> const& count_by_zone);
+
+  // ---- the choice ----
+  enum class Refusal {
+    no_candidate,  ///< no server may take the request
+    at_capacity,   ///< those that may have no capacity left for this proxy
+  };
+  struct Choice {
+    std::optional<ServerIndex> server;
+    Refusal refusal = Refusal::no_candidate;  ///< if there is no server
+    Seconds expected_latency = 0;             ///< if there is one
+  };
+  Choice choose(EndpointQuery const& query, Seconds now);
+
+  // ---- what became of attempts ----
+  void attempt_started(ServerIndex server, Seconds now);
+  void attempt_succeeded(ServerIndex server, Seconds latency, Seconds now);
+  /// It ended and nothing is to be learned from it.
+  void attempt_abandoned(ServerIndex server);
+  /// Passive health check: the server gets nothing for a while, which doubles from `base` with each ejection in a row.
+  void eject(ServerIndex server, Seconds base, Seconds now);
+  /// The server rejected a request for lack of capacity.
+  void report_at_capacity(ServerIndex server, Seconds now);
+  /// The server answered that it could not handle a request.
+  void report_failure(ServerIndex server, Seconds now);
+  /// A connection that was idle for so long was reset unanswered: others as old are not trusted for a while.
+  void report_idle_reset(ServerIndex server, Seconds idle_time, Seconds now);
+  /// Another server answered at this one's address.
+  void report_misdirected(ServerIndex server);
+  void start_warm_up(ServerIndex server, Seconds left, Seconds now);
+
+  // ---- what is asked of it ----
+  /// For how long a connection may have been idle and still be used.
+  Seconds safe_idle_time(ServerIndex server, bool is_repeatable, Seconds now) const;
+  Endpoint& endpoint(ServerIndex server) { return endpoints_[server.v]; }
+  Endpoint const& endpoint(ServerIndex server) const { return endpoints_[server.v]; }
+  /// All slots, also those that no server uses.
+  std::vector<Endpoint> const& endpoints() const { return endpoints_; }
+  /// Servers that get nothing more and are not yet forgotten.
+  std::vector<ServerIndex> retired_servers() const;
+  std::size_t ready_servers() const;
+  /// How many connections to the server this proxy may have.
+  u32 connection_share(ServerIndex server) const;
+  /// This proxy's part of bounds that hold for all proxies together.
+  double proxy_share() const;
+  double proxy_count() const { return proxy_count_; }
+  RetryBudget& retry_budget(ServiceIndex service) { return services_[service.v].retry_budget; }
+  Seconds mean_latency(ServiceIndex service) const { return services_[service.v].mean_latency; }
+  /// What others saw of a service's latency, for one who has seen nothing yet.
+  void learn_latency(ServiceIndex service, Seconds latency);
 
  private:
-  bool put(Seen const& r, Seconds now);
-  void settle();
-  void mark(Endpoint& t, double x, Seconds now);
-  Proximity near(Endpoint const& t) const;
-  double sharers(Endpoint const& t, Proximity n) const;
-  // How many proxies warm a cold server: few, so that each one's part is worth something
-  // and their first errands together stay far below what it bears. 0: not we.
-  double warmers(Endpoint const& t, Proximity n) const;
-  Settings const& st_;
-  std::vector<Endpoint> t_;
-  std::vector<u32> free_;
-  std::unordered_map<std::string, u32> by_id_, pools_, zones_, regions_;
-  std::vector<std::vector<u32>> members_;  // by pool
-  std::vector<ServiceLimits> rules_;
-  std::vector<RetryBudget> budgets_;
-  std::vector<double> pool_lat_;
-  std::vector<std::string> pool_names_, zone_names_;
-  struct IdleRisk {
-    Seconds safe = 60, seen = 0;
+  struct Service {
+    explicit Service(RetryBudget budget) : retry_budget(std::move(budget)) {}
+    std::vector<u32> servers;  // indices into endpoints_
+    ServiceLimits limits;
+    RetryBudget retry_budget;
+    double mean_latency = 0.05;
+    // Of connections to any server of the service, for requests that are not repeatable.
+    Seconds safe_idle_time = 60, idle_reset_at = 0;
   };
-  std::vector<IdleRisk> idle_risk_;  // by pool, for what may not repeat
-  std::set<u32> evac_;
-  std::map<u32, Seconds> thaw_;  // zones just taken back: their servers may be cold
-  std::map<u32, double> zone_sites_, region_sites_;
-  std::map<u32, u32> zone_region_;
-  double all_sites_ = 0;
-  LocationIndex my_zone_, my_region_;
+  u32 insert(ServerUpdate const& update, ServiceIndex service);
+  void put(ServerUpdate const& update, Seconds now);
+  void forget_retired();
+  void update_failure_share(Endpoint& endpoint, double failed, Seconds now);
+
+  bool is_candidate(Endpoint const& endpoint, EndpointQuery const& query, Seconds now) const;
+  bool has_near_candidate(EndpointQuery const& query, Seconds now) const;
+  bool has_capacity(ServerIndex server, Proximity proximity, double proxies) const;
+  bool may_warm(Endpoint const& endpoint, Proximity proximity, Seconds now) const;
+  double cost(Endpoint const& endpoint, EndpointQuery const& query, Proximity proximity, double proxies,
+              Seconds now) const;
+
+  Proximity proximity_of(Endpoint const& endpoint) const;
+  /// How many proxies share the server with this one, as near to it as this one.
+  double proxies_sharing(Endpoint const& endpoint, Proximity proximity) const;
+  /// How many proxies warm the server up: few, so that each one's part is worth something and their first requests
+  /// together stay far below what it bears. 0: this one does not.
+  double proxies_warming(Endpoint const& endpoint, Proximity proximity) const;
+  double slow_start_rate(Endpoint const& endpoint, double proxies) const;
+
+  Settings const& settings_;
+  std::vector<Endpoint> endpoints_;
+  std::vector<u32> free_slots_;  // of endpoints_
+  std::unordered_map<std::string, u32> slot_by_id_, service_indices_, zone_indices_, region_indices_;
+  std::vector<Service> services_;
+  std::vector<std::string> service_names_, zone_names_;
+  std::set<u32> evacuated_zones_;
+  std::map<u32, Seconds> returned_zones_;  // zones just taken back, until when their servers count as warming up
+  std::map<u32, double> proxies_by_zone_, proxies_by_region_;
+  std::map<u32, u32> region_of_zone_;
+  double proxy_count_ = 0;
+  LocationIndex own_zone_, own_region_;
 };
 
 }  // namespace dockbend
--- a/packages/load_balancing/load_balancer.cpp
+++ b/packages/load_balancing/load_balancer.cpp
@@ -1,339 +1,429 @@
 #include "load_balancing/load_balancer.hpp"
 
+#include <algorithm>
 #include <cmath>
 
 namespace dockbend {
 namespace {
-u32 index_of(std::unordered_map<std::string, u32>& m, std::string const& k) {
-  return m.try_emplace(k, static_cast<u32>(m.size())).first->second;
+
+// ---- retry budgets: something is kept back, for views and clocks of the proxies differ a little ----
+double constexpr kRetryRatioPart = 0.8, kRetrySlackPart = 0.7;
+
+// ---- shares of bounds ----
+double constexpr kLeastProxies = 4;         // a proxy that knows of fewer takes no larger share
+double constexpr kProxyCountMargin = 1.25;  // others may know of fewer proxies than there are
+double constexpr kConnectionPart = 0.9, kConnectionProxyMargin = 1.1;
+
+// ---- capacity: how much of a server's capacity its sharers may use together, by proximity ----
+double constexpr kZoneReach = 2.0, kRegionReach = 1.0, kRemoteReach = 0.6;
+
+// ---- slow start ----
+/// Part of the rate that is given out: a proxy that holds an older view of the others then still keeps the sum below
+/// the bound.
+double constexpr kSlowStartPart = 0.6;
+double constexpr kSlowStartBurst = 1.0;
+double constexpr kMostWarmingProxies = 3;
+/// Until a heartbeat of a server in a zone that was taken back has had time to arrive, beyond two of their periods.
+Seconds constexpr kReturnedZoneMargin = 0.5;
+
+// ---- cost of an endpoint ----
+Seconds constexpr kLeastMeanLatency = 0.002;
+Seconds constexpr kLatencyMemory = 10, kFailureMemory = 8;  // what was seen fades to 1/e within
+double constexpr kLeastOwnCapacity = 0.5;
+double constexpr kCostPerRequestInFlight = 0.15;
+double constexpr kFailureWeight = 4, kLeastFailureShare = 0.01;
+double constexpr kPreferenceWeight = 0.08, kNewConnectionWeight = 0.05;
+double constexpr kDistanceFactor = 1.25, kRegionDistancePart = 0.05, kRemoteDistancePart = 0.4;  // parts of the target
+double constexpr kRandomBase = 0.97, kRandomSpan = 0.06;
+
+// ---- smoothing of what attempts show ----
+double constexpr kEndpointSmoothing = 0.12, kMeanSmoothing = 0.01, kLearnedSmoothing = 0.1, kFailureSmoothing = 0.2;
+
+// ---- passive health checks ----
+u32 constexpr kMostEjections = 5;
+Seconds constexpr kAtCapacityEjection = 0.05, kAtCapacityEjectionSpan = 0.1;
+
+// ---- idle connections ----
+Seconds constexpr kIdleResetMemory = 15, kTrustedIdleTime = 60, kLeastIdleTime = 0.02;
+double constexpr kSafeIdlePart = 0.7;
+
+u32 index_of(std::unordered_map<std::string, u32>& indices, std::string const& name) {
+  return indices.try_emplace(name, static_cast<u32>(indices.size())).first->second;
 }
-double const start_lat = 0.05;
+/// 0 to 1, the same in each process for the same text.
+double draw_of(std::string const& text) {
+  double constexpr range = 9007199254740992.0;  // 2^53
+  return static_cast<double>(hash64(text) >> 11) / range;
+}
+double count_at(std::map<u32, double> const& counts, u32 index) {
+  auto const it = counts.find(index);
+  return it == counts.end() ? 0.0 : it->second;
+}
+bool is_home(EndpointQuery const& query, Endpoint const& endpoint) {
+  return query.homes == nullptr || query.homes->empty() ||
+         std::find(query.homes->begin(), query.homes->end(), endpoint.region) != query.homes->end();
+}
+bool was_attempted(EndpointQuery const& query, ServerIndex server) {
+  return query.attempted != nullptr &&
+         std::find(query.attempted->begin(), query.attempted->end(), server) != query.attempted->end();
+}
+/// The latency that was seen at the endpoint; what was seen long ago fades to the service's mean.
+Seconds faded_latency(Endpoint const& endpoint, Seconds mean_latency, Seconds now) {
+  if (endpoint.latency <= 0) return mean_latency;
+  double const weight = std::exp(-(now - endpoint.latency_at) / kLatencyMemory);
+  return mean_latency + (endpoint.latency - mean_latency) * weight;
+}
+
 }  // namespace
 
-LoadBalancer::LoadBalancer(Settings const& st) : st_(st) {
-  my_zone_ = zone(st.zone);
-  my_region_ = region(st.region);
-  for (auto const& [z, r] : st.zones)
-    zone_region_[zone(z).v] = region(r).v;
-}
-
-ServiceIndex LoadBalancer::pool(std::string const& name) {
-  u32 const i = index_of(pools_, name);
-  while (members_.size() <= i) {
-    members_.emplace_back();
-    rules_.emplace_back();
-    pool_lat_.push_back(start_lat);
-    pool_names_.push_back(name);
-    idle_risk_.emplace_back();
-    // A tenth is kept back: views and clocks of the proxies differ a little.
-    budgets_.emplace_back(st_.bounds.retryWindowS, st_.bounds.retryRatio * 0.8, st_.bounds.retrySlack * 0.7);
+LoadBalancer::LoadBalancer(Settings const& settings) : settings_(settings) {
+  own_zone_ = zone_index(settings.zone);
+  own_region_ = region_index(settings.region);
+  for (auto const& [zone, region] : settings.zones)
+    region_of_zone_[zone_index(zone).v] = region_index(region).v;
+}
+
+// ---- names ----
+
+ServiceIndex LoadBalancer::service_index(std::string const& name) {
+  u32 const index = index_of(service_indices_, name);
+  while (services_.size() <= index) {
+    services_.emplace_back(RetryBudget(settings_.bounds.retryWindowS, settings_.bounds.retryRatio * kRetryRatioPart,
+                                       settings_.bounds.retrySlack * kRetrySlackPart));
+    service_names_.push_back(name);
   }
-  return ServiceIndex(i);
-}
-LocationIndex LoadBalancer::zone(std::string const& name) {
-  u32 const i = index_of(zones_, name);
-  if (zone_names_.size() <= i) zone_names_.resize(i + 1, name);
-  return LocationIndex(i);
-}
-LocationIndex LoadBalancer::region(std::string const& name) {
-  return LocationIndex(index_of(regions_, name));
-}
-void LoadBalancer::rule(ServiceIndex p, ServiceLimits r) {
-  rules_[p.v] = r;
-}
-
-bool LoadBalancer::put(Seen const& r, Seconds now) {
-  ServiceIndex const p = pool(r.service);
-  auto const it = by_id_.find(r.id);
-  u32 i = 0;
-  if (it == by_id_.end()) {
-    if (!r.ready) return false;
-    if (!free_.empty()) {
-      i = free_.back();
-      free_.pop_back();
-    } else {
-      i = static_cast<u32>(t_.size());
-      t_.emplace_back();
-    }
-    u64 const uses = t_[i].uses;
-    t_[i] = Endpoint{};
-    t_[i].uses = uses + 1;
-    t_[i].id = r.id;
-    t_[i].pool = p;
-    t_[i].zone = zone(r.zone);
-    t_[i].region = region(st_.region_of(r.zone));
-    t_[i].liking = static_cast<double>(hash64(r.id + "|" + st_.nodeName) >> 11) / 9007199254740992.0;
-    t_[i].warming = static_cast<double>(hash64("warm|" + r.id + "|" + st_.nodeName) >> 11) / 9007199254740992.0;
-    by_id_[r.id] = i;
-    members_[p.v].push_back(i);
+  return ServiceIndex(index);
+}
+LocationIndex LoadBalancer::zone_index(std::string const& name) {
+  u32 const index = index_of(zone_indices_, name);
+  if (zone_names_.size() <= index) zone_names_.resize(index + 1, name);
+  return LocationIndex(index);
+}
+LocationIndex LoadBalancer::region_index(std::string const& name) {
+  return LocationIndex(index_of(region_indices_, name));
+}
+
+// ---- what is configured and known ----
+
+void LoadBalancer::set_limits(ServiceIndex service, ServiceLimits limits) {
+  services_[service.v].limits = limits;
+}
+
+u32 LoadBalancer::insert(ServerUpdate const& update, ServiceIndex service) {
+  u32 slot = 0;
+  if (!free_slots_.empty()) {
+    slot = free_slots_.back();
+    free_slots_.pop_back();
   } else {
-    i = it->second;
+    slot = static_cast<u32>(endpoints_.size());
+    endpoints_.emplace_back();
   }
-  Endpoint& t = t_[i];
-  t.address = r.address;
-  t.capacity = std::max(1.0, r.capacity);
-  t.ready = r.ready;
-  if (r.cold_left > 0) cold(ServerIndex(i), r.cold_left, now);
-  return true;
-}
-
-void LoadBalancer::settle() {
-  for (auto it = by_id_.begin(); it != by_id_.end();) {
-    Endpoint& t = t_[it->second];
-    if (!t.ready && t.out == 0 && t.chans == 0) {
-      auto& m = members_[t.pool.v];
-      m.erase(std::remove(m.begin(), m.end(), it->second), m.end());
-      free_.push_back(it->second);
-      it = by_id_.erase(it);
-    } else {
+  Endpoint& endpoint = endpoints_[slot];
+  u64 const uses = endpoint.uses;
+  endpoint = Endpoint{};
+  endpoint.uses = uses + 1;
+  endpoint.id = update.id;
+  endpoint.service = service;
+  endpoint.zone = zone_index(update.zone);
+  endpoint.region = region_index(settings_.region_of(update.zone));
+  endpoint.preference = draw_of(update.id + "|" + settings_.nodeName);
+  endpoint.warm_up_draw = draw_of("warm|" + update.id + "|" + settings_.nodeName);
+  slot_by_id_[update.id] = slot;
+  services_[service.v].servers.push_back(slot);
+  return slot;
+}
+
+void LoadBalancer::put(ServerUpdate const& update, Seconds now) {
+  ServiceIndex const service = service_index(update.service);
+  auto const it = slot_by_id_.find(update.id);
+  if (it == slot_by_id_.end() && !update.ready) return;
+  u32 const slot = it == slot_by_id_.end() ? insert(update, service) : it->second;
+  Endpoint& endpoint = endpoints_[slot];
+  endpoint.address = update.address;
+  endpoint.capacity = std::max(1.0, update.capacity);
+  endpoint.ready = update.ready;
+  if (update.warm_up_left > 0) start_warm_up(ServerIndex(slot), update.warm_up_left, now);
+}
+
+void LoadBalancer::forget_retired() {
+  for (auto it = slot_by_id_.begin(); it != slot_by_id_.end();) {
+    Endpoint const& endpoint = endpoints_[it->second];
+    if (endpoint.ready || endpoint.in_flight > 0 || endpoint.connections > 0) {
       ++it;
+      continue;
     }
+    std::erase(services_[endpoint.service.v].servers, it->second);
+    free_slots_.push_back(it->second);
+    it = slot_by_id_.erase(it);
   }
 }
 
-void LoadBalancer::table(std::vector<Seen> const& rows, Seconds now) {
-  std::set<std::string_view> seen;
-  for (Seen const& r : rows) {
-    put(r, now);
-    seen.insert(r.id);
+void LoadBalancer::replace_servers(std::vector<ServerUpdate> const& servers, Seconds now) {
+  std::set<std::string_view> named;
+  for (ServerUpdate const& update : servers) {
+    put(update, now);
+    named.insert(update.id);
   }
-  for (auto& [id, i] : by_id_)
-    if (seen.count(id) == 0) t_[i].ready = false;
-  settle();
-}
-
-void LoadBalancer::change(std::vector<Seen> const& rows, Seconds now) {
-  for (Seen const& r : rows)
-    put(r, now);
-  settle();
-}
-
-std::vector<ServerIndex> LoadBalancer::gone_idle() const {
-  std::vector<ServerIndex> out;
-  for (auto const& [id, i] : by_id_)
-    if (!t_[i].ready) out.push_back(ServerIndex(i));
-  return out;
-}
-
-void LoadBalancer::evacuated(std::set<std::string> const& zones, Seconds now) {
-  std::set<u32> next;
-  for (auto const& z : zones)
-    next.insert(zone(z).v);
-  for (u32 const z : evac_)
-    // Servers of a zone taken back may have turned cold a moment ago: until
-    // their beats have had time to say so, they count as cold.
-    if (next.count(z) == 0) thaw_[z] = now + 2 * st_.beatPeriodS + 0.5;
-  evac_ = std::move(next);
-  for (u32 i = 0; i < t_.size(); ++i) {
-    auto const it = thaw_.find(t_[i].zone.v);
-    if (it != thaw_.end() && t_[i].ready && it->second > now && evac_.count(t_[i].zone.v) == 0)
-      cold(ServerIndex(i), it->second - now, now);
+  for (auto const& [id, slot] : slot_by_id_)
+    if (named.count(id) == 0) endpoints_[slot].ready = false;
+  forget_retired();
+}
+
+void LoadBalancer::update_servers(std::vector<ServerUpdate> const& servers, Seconds now) {
+  for (ServerUpdate const& update : servers)
+    put(update, now);
+  forget_retired();
+}
+
+std::vector<ServerIndex> LoadBalancer::retired_servers() const {
+  std::vector<ServerIndex> retired;
+  for (auto const& [id, slot] : slot_by_id_)
+    if (!endpoints_[slot].ready) retired.push_back(ServerIndex(slot));
+  return retired;
+}
+
+void LoadBalancer::set_evacuated_zones(std::set<std::string> const& zones, Seconds now) {
+  std::set<u32> evacuated;
+  for (std::string const& zone : zones)
+    evacuated.insert(zone_index(zone).v);
+  // Servers of a zone that is taken back may have begun to warm up a moment ago: until their heartbeats have had time
+  // to say so, they count as warming up.
+  for (u32 const zone : evacuated_zones_)
+    if (evacuated.count(zone) == 0) returned_zones_[zone] = now + 2 * settings_.beatPeriodS + kReturnedZoneMargin;
+  evacuated_zones_ = std::move(evacuated);
+  for (u32 slot = 0; slot < endpoints_.size(); ++slot) {
+    Endpoint const& endpoint = endpoints_[slot];
+    auto const it = returned_zones_.find(endpoint.zone.v);
+    if (it != returned_zones_.end() && endpoint.ready && it->second > now &&
+        evacuated_zones_.count(endpoint.zone.v) == 0)
+      start_warm_up(ServerIndex(slot), it->second - now, now);
   }
-  for (auto it = thaw_.begin(); it != thaw_.end();)
-    it = it->second <= now ? thaw_.erase(it) : std::next(it);
-}
-
-void LoadBalancer::sites(std::map<std::string, u32> const& by_zone) {
-  zone_sites_.clear();
-  region_sites_.clear();
-  all_sites_ = 0;
-  for (auto const& [z, n] : by_zone) {
-    u32 const zi = zone(z).v;
-    zone_sites_[zi] += n;
-    region_sites_[zone_region_[zi]] += n;
-    all_sites_ += n;
+  std::erase_if(returned_zones_, [now](auto const& entry) { return entry.second <= now; });
+}
+
+void LoadBalancer::set_proxy_counts(std::map<std::string, u32> const& count_by_zone) {
+  proxies_by_zone_.clear();
+  proxies_by_region_.clear();
+  proxy_count_ = 0;
+  for (auto const& [name, count] : count_by_zone) {
+    u32 const zone = zone_index(name).v;
+    proxies_by_zone_[zone] += count;
+    proxies_by_region_[region_of_zone_[zone]] += count;
+    proxy_count_ += count;
   }
 }
 
-double LoadBalancer::part() const {
-  return 1.0 / std::max(all_sites_ * 1.25, 4.0);
+// ---- shares ----
+
+double LoadBalancer::proxy_share() const {
+  return 1.0 / std::max(proxy_count_ * kProxyCountMargin, kLeastProxies);
 }
 
-Proximity LoadBalancer::near(Endpoint const& t) const {
-  if (t.zone == my_zone_) return Proximity::zone;
-  return t.region == my_region_ ? Proximity::region : Proximity::far;
+u32 LoadBalancer::connection_share(ServerIndex server) const {
+  double const limit = services_[endpoint(server).service.v].limits.connection_limit;
+  double const proxies = std::max(proxy_count_ * kConnectionProxyMargin, kLeastProxies);
+  return std::max<u32>(1, static_cast<u32>(limit * kConnectionPart / proxies));
 }
 
-double LoadBalancer::sharers(Endpoint const& t, Proximity n) const {
-  auto get = [](std::map<u32, double> const& m, u32 k) {
-    auto const it = m.find(k);
-    return it == m.end() ? 0.0 : it->second;
-  };
-  if (n == Proximity::zone) return std::max(1.0, get(zone_sites_, t.zone.v));
-  if (n == Proximity::region) return std::max(1.0, get(region_sites_, t.region.v));
-  return std::max(1.0, all_sites_);
+Proximity LoadBalancer::proximity_of(Endpoint const& endpoint) const {
+  if (endpoint.zone == own_zone_) return Proximity::zone;
+  return endpoint.region == own_region_ ? Proximity::region : Proximity::remote;
 }
 
-u32 LoadBalancer::chan_share(ServerIndex s) const {
-  Endpoint const& t = t_[s.v];
-  double const n = std::max(all_sites_ * 1.1, 4.0);
-  return std::max<u32>(1, static_cast<u32>(rules_[t.pool.v].conn_limit * 0.9 / n));
+double LoadBalancer::proxies_sharing(Endpoint const& endpoint, Proximity proximity) const {
+  if (proximity == Proximity::zone) return std::max(1.0, count_at(proxies_by_zone_, endpoint.zone.v));
+  if (proximity == Proximity::region) return std::max(1.0, count_at(proxies_by_region_, endpoint.region.v));
+  return std::max(1.0, proxy_count_);
 }
 
-// The rate of a cold server is kept by the proxies of its own zone; where there
-// are none, by those of its region; of many, by the few that a draw names. Part of it
-// is given out: a proxy that holds an older view of the others then still keeps the sum
-// below the bound.
-namespace {
-double const cold_part = 0.6;
-double const liking_weight = 0.08, fresh_weight = 0.05;
-double const most_warmers = 3;
-}  // namespace
+// The rate of a server that is warming up is kept by the proxies of its own zone; where there are none, by those of its
+// region; of many, by the few that a draw names.
+double LoadBalancer::proxies_warming(Endpoint const& endpoint, Proximity proximity) const {
+  double const proxies = proxies_sharing(endpoint, proximity);
+  if (proxies <= kMostWarmingProxies) return proxies;
+  return endpoint.warm_up_draw < kMostWarmingProxies / proxies ? kMostWarmingProxies : 0;
+}
 
-double LoadBalancer::warmers(Endpoint const& t, Proximity n) const {
-  double const ns = sharers(t, n);
-  if (ns <= most_warmers) return ns;
-  return t.warming < most_warmers / ns ? most_warmers : 0;
+double LoadBalancer::slow_start_rate(Endpoint const& endpoint, double proxies) const {
+  return services_[endpoint.service.v].limits.slow_start_rate * kSlowStartPart / proxies;
 }
 
-namespace {
-bool at_home(EndpointQuery const& w, Endpoint const& t) {
-  return w.homes == nullptr || w.homes->empty() ||
-         std::find(w.homes->begin(), w.homes->end(), t.region) != w.homes->end();
+// ---- the choice ----
+
+bool LoadBalancer::is_candidate(Endpoint const& endpoint, EndpointQuery const& query, Seconds now) const {
+  return endpoint.ready && !endpoint.is_misdirected && endpoint.ejected_until <= now &&
+         evacuated_zones_.count(endpoint.zone.v) == 0 && is_home(query, endpoint);
 }
-}  // namespace
 
-LoadBalancer::Choice LoadBalancer::choose(EndpointQuery const& w, Seconds now) {
-  Choice out;
-  double best = 0;
-  ServiceLimits const& rule = rules_[w.pool.v];
-  double const pool_lat = std::max(pool_lat_[w.pool.v], 0.002);
-  bool any = false, any_region = false;
-  for (u32 const i : members_[w.pool.v]) {
-    Endpoint const& t = t_[i];
-    if (t.ready && !t.misdirected && near(t) != Proximity::far && evac_.count(t.zone.v) == 0 && t.shun_until <= now &&
-        at_home(w, t))
-      any_region = true;
-  }
-  for (u32 const i : members_[w.pool.v]) {
-    Endpoint& t = t_[i];
-    if (!t.ready || t.misdirected || evac_.count(t.zone.v) > 0) continue;
-    if (!at_home(w, t)) continue;
-    if (w.attempted != nullptr &&
-        std::find(w.attempted->begin(), w.attempted->end(), ServerIndex(i)) != w.attempted->end())
-      continue;
-    if (t.shun_until > now) continue;
-    any = true;
-    Proximity const n = near(t);
-    if (n == Proximity::far && w.bulky && any_region) continue;
-    double const ns = sharers(t, n);
-    double const reach = n == Proximity::zone ? 2.0 : n == Proximity::region ? 1.0 : 0.6;
-    double const hard = std::max(n == Proximity::zone ? 2.0 : 1.0, std::ceil(t.capacity * reach / ns));
-    if (t.out >= hard || t.out >= chan_share(ServerIndex(i))) continue;
-    if (t.cold_until > now) {
-      auto const zs = zone_sites_.find(t.zone.v);
-      bool const zone_has = zs != zone_sites_.end() && zs->second > 0;
-      if (n == Proximity::far || (n == Proximity::region && zone_has)) continue;
-      double const wn = warmers(t, n);
-      if (rule.cold_rate > 0 && (wn == 0 || !t.cold.has(now, rule.cold_rate * cold_part / wn, 1.0))) continue;
-    }
-    // The time an answer is likely to take: what was seen, stretched by our own
-    // share of its slots in use. What was seen long ago fades to the pool's mean.
-    double lat = t.lat > 0 ? t.lat : pool_lat;
-    double const fade = std::exp(-(now - t.lat_at) / 10.0);
-    lat = pool_lat + (lat - pool_lat) * (t.lat > 0 ? fade : 0.0);
-    double const own = t.capacity / ns;
-    double est = lat * std::max(1.0, (t.out + 1.0) / std::max(own, 0.5)) + lat * 0.15 * t.out;
-    // What came to nothing there lately weighs more than what its health says.
-    if (t.bad > 0.01) est *= 1.0 + 4.0 * t.bad * std::exp(-(now - t.bad_at) / 8.0);
-    // Among equals each proxy keeps to its own few servers, and to those it has a
-    // channel to: channels then grow with the traffic, not with proxies x servers.
-    est *= 1.0 + liking_weight * t.liking + (t.idle == 0 ? fresh_weight : 0.0);
-    if (n == Proximity::region) est = est * 1.25 + 0.05 * w.latency_target;
-    if (n == Proximity::far) est = est * 1.25 + 0.4 * w.latency_target;
-    est *= 0.97 + 0.06 * random01();
-    if (!out.ix || est < best) {
-      best = est;
-      out.ix = ServerIndex(i);
-      out.est = est;
-    }
+bool LoadBalancer::has_near_candidate(EndpointQuery const& query, Seconds now) const {
+  std::vector<u32> const& servers = services_[query.service.v].servers;
+  return std::any_of(servers.begin(), servers.end(), [&](u32 slot) {
+    Endpoint const& endpoint = endpoints_[slot];
+    return proximity_of(endpoint) != Proximity::remote && is_candidate(endpoint, query, now);
+  });
+}
+
+bool LoadBalancer::has_capacity(ServerIndex server, Proximity proximity, double proxies) const {
+  Endpoint const& candidate = endpoint(server);
+  double const reach = proximity == Proximity::zone     ? kZoneReach
+                       : proximity == Proximity::region ? kRegionReach
+                                                        : kRemoteReach;
+  double const least = proximity == Proximity::zone ? 2.0 : 1.0;
+  double const limit = std::max(least, std::ceil(candidate.capacity * reach / proxies));
+  return candidate.in_flight < limit && candidate.in_flight < connection_share(server);
+}
+
+bool LoadBalancer::may_warm(Endpoint const& endpoint, Proximity proximity, Seconds now) const {
+  if (endpoint.warming_until <= now) return true;
+  if (proximity == Proximity::remote) return false;
+  if (proximity == Proximity::region && count_at(proxies_by_zone_, endpoint.zone.v) > 0) return false;
+  if (services_[endpoint.service.v].limits.slow_start_rate <= 0) return true;
+  double const proxies = proxies_warming(endpoint, proximity);
+  return proxies > 0 && endpoint.slow_start.has_token(now, slow_start_rate(endpoint, proxies), kSlowStartBurst);
+}
+
+// The time that a response is likely to take: what was seen, stretched by our own share of the server's capacity in
+// use; more for a server whose requests failed lately, whatever its health says. Among equals each proxy prefers its
+// own few servers, and those it has a connection to: connections then grow with the traffic, not with proxies times
+// servers. Chance decides among what remains.
+double LoadBalancer::cost(Endpoint const& endpoint, EndpointQuery const& query, Proximity proximity, double proxies,
+                          Seconds now) const {
+  double const mean = std::max(services_[endpoint.service.v].mean_latency, kLeastMeanLatency);
+  double const latency = faded_latency(endpoint, mean, now);
+  double const own_capacity = std::max(endpoint.capacity / proxies, kLeastOwnCapacity);
+  double const in_flight = endpoint.in_flight;
+  double cost =
+      latency * std::max(1.0, (in_flight + 1.0) / own_capacity) + latency * kCostPerRequestInFlight * in_flight;
+  if (endpoint.failure_share > kLeastFailureShare)
+    cost *=
+        1.0 + kFailureWeight * endpoint.failure_share * std::exp(-(now - endpoint.failure_share_at) / kFailureMemory);
+  cost *= 1.0 + kPreferenceWeight * endpoint.preference + (endpoint.idle_connections == 0 ? kNewConnectionWeight : 0.0);
+  if (proximity == Proximity::region) cost = cost * kDistanceFactor + kRegionDistancePart * query.latency_target;
+  if (proximity == Proximity::remote) cost = cost * kDistanceFactor + kRemoteDistancePart * query.latency_target;
+  return cost * (kRandomBase + kRandomSpan * random01());
+}
+
+LoadBalancer::Choice LoadBalancer::choose(EndpointQuery const& query, Seconds now) {
+  Choice choice;
+  bool const keeps_near = query.is_upload && has_near_candidate(query, now);
+  bool has_candidate = false;
+  for (u32 const slot : services_[query.service.v].servers) {
+    ServerIndex const server(slot);
+    Endpoint const& candidate = endpoints_[slot];
+    if (!is_candidate(candidate, query, now) || was_attempted(query, server)) continue;
+    has_candidate = true;
+    Proximity const proximity = proximity_of(candidate);
+    if (proximity == Proximity::remote && keeps_near) continue;
+    double const proxies = proxies_sharing(candidate, proximity);
+    if (!has_capacity(server, proximity, proxies) || !may_warm(candidate, proximity, now)) continue;
+    double const candidate_cost = cost(candidate, query, proximity, proxies, now);
+    if (choice.server && candidate_cost >= choice.expected_latency) continue;
+    choice.server = server;
+    choice.expected_latency = candidate_cost;
   }
-  if (!out.ix) out.no = any ? No::full : No::none;
-  return out;
+  if (!choice.server) choice.refusal = has_candidate ? Refusal::at_capacity : Refusal::no_candidate;
+  return choice;
 }
 
-void LoadBalancer::took(ServerIndex s, Seconds now) {
-  Endpoint& t = t_[s.v];
-  ++t.out;
-  if (t.cold_until > now) {
-    double const wn = warmers(t, near(t));
-    double const r = rules_[t.pool.v].cold_rate;
-    if (r > 0 && wn > 0) t.cold.take(now, r * cold_part / wn, 1.0);
+// ---- what became of attempts ----
+
+void LoadBalancer::attempt_started(ServerIndex server, Seconds now) {
+  Endpoint& target = endpoint(server);
+  ++target.in_flight;
+  if (target.warming_until <= now) return;
+  double const proxies = proxies_warming(target, proximity_of(target));
+  if (services_[target.service.v].limits.slow_start_rate > 0 && proxies > 0)
+    target.slow_start.take(now, slow_start_rate(target, proxies), kSlowStartBurst);
+}
+
+void LoadBalancer::attempt_succeeded(ServerIndex server, Seconds latency, Seconds now) {
+  attempt_abandoned(server);
+  Endpoint& target = endpoint(server);
+  double& mean = services_[target.service.v].mean_latency;
+  target.ejections = 0;
+  update_failure_share(target, 0, now);
+  if (target.latency > 0) {
+    double const distance = std::abs(latency - target.latency);
+    target.latency_deviation = target.latency_deviation * (1 - kEndpointSmoothing) + distance * kEndpointSmoothing;
+    target.latency = target.latency * (1 - kEndpointSmoothing) + latency * kEndpointSmoothing;
+  } else {
+    target.latency = 0.5 * mean + 0.5 * latency;
   }
+  target.latency_at = now;
+  mean = mean * (1 - kMeanSmoothing) + latency * kMeanSmoothing;
 }
 
-void LoadBalancer::gave(ServerIndex s, Seconds lat, bool good, Seconds now) {
-  Endpoint& t = t_[s.v];
-  if (t.out > 0) --t.out;
-  if (!good) return;
-  t.fails = 0;
-  mark(t, 0, now);
-  if (t.lat > 0) t.dev = t.dev * 0.88 + std::abs(lat - t.lat) * 0.12;
-  t.lat = t.lat > 0 ? t.lat * 0.88 + lat * 0.12 : 0.5 * pool_lat_[t.pool.v] + 0.5 * lat;
-  t.lat_at = now;
-  double& p = pool_lat_[t.pool.v];
-  p = p * 0.99 + lat * 0.01;
+void LoadBalancer::attempt_abandoned(ServerIndex server) {
+  Endpoint& target = endpoint(server);
+  if (target.in_flight > 0) --target.in_flight;
 }
 
-void LoadBalancer::dropped(ServerIndex s) {
-  Endpoint& t = t_[s.v];
-  if (t.out > 0) --t.out;
+void LoadBalancer::eject(ServerIndex server, Seconds base, Seconds now) {
+  Endpoint& target = endpoint(server);
+  update_failure_share(target, 1, now);
+  if (target.ejected_until > now) return;
+  target.ejections = std::min<u32>(target.ejections + 1, kMostEjections);
+  target.ejected_until = now + base * std::pow(2.0, target.ejections - 1) * (0.8 + 0.4 * random01());
 }
 
-void LoadBalancer::shun(ServerIndex s, Seconds base, Seconds now) {
-  Endpoint& t = t_[s.v];
-  mark(t, 1, now);
-  if (t.shun_until > now) return;
-  t.fails = std::min<u32>(t.fails + 1, 5);
-  t.shun_until = now + base * std::pow(2.0, t.fails - 1) * (0.8 + 0.4 * random01());
+void LoadBalancer::update_failure_share(Endpoint& endpoint, double failed, Seconds now) {
+  double const faded = endpoint.failure_share * std::exp(-(now - endpoint.failure_share_at) / kFailureMemory);
+  endpoint.failure_share = faded + kFailureSmoothing * (failed - faded);
+  endpoint.failure_share_at = now;
 }
 
-void LoadBalancer::mark(Endpoint& t, double x, Seconds now) {
-  double const old = t.bad * std::exp(-(now - t.bad_at) / 8.0);
-  t.bad = old + 0.2 * (x - old);
-  t.bad_at = now;
+void LoadBalancer::report_failure(ServerIndex server, Seconds now) {
+  update_failure_share(endpoint(server), 1, now);
 }
-void LoadBalancer::failed(ServerIndex s, Seconds now) {
-  mark(t_[s.v], 1, now);
+
+void LoadBalancer::report_at_capacity(ServerIndex server, Seconds now) {
+  Endpoint& target = endpoint(server);
+  update_failure_share(target, 1, now);
+  target.ejected_until =
+      std::max(target.ejected_until, now + kAtCapacityEjection + kAtCapacityEjectionSpan * random01());
 }
 
-void LoadBalancer::idle_lost(ServerIndex s, Seconds idle, Seconds now) {
-  Endpoint& t = t_[s.v];
-  Seconds const was = idle_safe(s, true, now);
-  t.idle_safe = std::max(0.02, std::min(was, 0.7 * idle));
-  t.idle_seen = now;
-  IdleRisk& r = idle_risk_[t.pool.v];
-  r.safe = std::max(0.02, std::min(now - r.seen < 15 ? r.safe : 60.0, 0.7 * idle));
-  r.seen = now;
+void LoadBalancer::report_misdirected(ServerIndex server) {
+  endpoint(server).is_misdirected = true;
 }
-// What was learned is forgotten after a while, or it would never be tried again.
-Seconds LoadBalancer::idle_safe(ServerIndex s, bool repeatable, Seconds now) const {
-  Endpoint const& t = t_[s.v];
-  Seconds const own = now - t.idle_seen < 15 ? t.idle_safe : 60.0;
-  if (repeatable) return own;
-  IdleRisk const& r = idle_risk_[t.pool.v];
-  return std::min(own, now - r.seen < 15 ? r.safe : 60.0);
+
+void LoadBalancer::start_warm_up(ServerIndex server, Seconds left, Seconds now) {
+  Endpoint& target = endpoint(server);
+  if (target.warming_until <= now) target.slow_start.start(now);
+  target.warming_until = std::max(target.warming_until, now + left);
 }
 
-void LoadBalancer::full(ServerIndex s, Seconds now) {
-  mark(t_[s.v], 1, now);
-  t_[s.v].shun_until = std::max(t_[s.v].shun_until, now + 0.05 + 0.1 * random01());
+void LoadBalancer::learn_latency(ServiceIndex service, Seconds latency) {
+  double& mean = services_[service.v].mean_latency;
+  mean = mean * (1 - kLearnedSmoothing) + latency * kLearnedSmoothing;
 }
-void LoadBalancer::misdirected(ServerIndex s) {
-  t_[s.v].misdirected = true;
+
+// ---- idle connections ----
+
+void LoadBalancer::report_idle_reset(ServerIndex server, Seconds idle_time, Seconds now) {
+  Endpoint& target = endpoint(server);
+  Service& service = services_[target.service.v];
+  Seconds const believed = safe_idle_time(server, true, now);
+  target.safe_idle_time = std::max(kLeastIdleTime, std::min(believed, kSafeIdlePart * idle_time));
+  target.idle_reset_at = now;
+  Seconds const believed_of_service =
+      now - service.idle_reset_at < kIdleResetMemory ? service.safe_idle_time : kTrustedIdleTime;
+  service.safe_idle_time = std::max(kLeastIdleTime, std::min(believed_of_service, kSafeIdlePart * idle_time));
+  service.idle_reset_at = now;
 }
 
-void LoadBalancer::cold(ServerIndex s, Seconds left, Seconds now) {
-  Endpoint& t = t_[s.v];
-  if (t.cold_until <= now) t.cold.start(now);
-  t.cold_until = std::max(t.cold_until, now + left);
+// What was learned is forgotten after a while, or longer times would never be tried again.
+Seconds LoadBalancer::safe_idle_time(ServerIndex server, bool is_repeatable, Seconds now) const {
+  Endpoint const& target = endpoint(server);
+  Seconds const own = now - target.idle_reset_at < kIdleResetMemory ? target.safe_idle_time : kTrustedIdleTime;
+  if (is_repeatable) return own;
+  Service const& service = services_[target.service.v];
+  return std::min(own, now - service.idle_reset_at < kIdleResetMemory ? service.safe_idle_time : kTrustedIdleTime);
 }
 
-std::size_t LoadBalancer::live() const {
-  std::size_t n = 0;
-  for (auto const& [id, i] : by_id_)
-    n += t_[i].ready ? 1 : 0;
-  return n;
+std::size_t LoadBalancer::ready_servers() const {
+  return static_cast<std::size_t>(std::count_if(slot_by_id_.begin(), slot_by_id_.end(),
+                                                [this](auto const& entry) { return endpoints_[entry.second].ready; }));
 }
 
 }  // namespace dockbend
--- a/packages/planning/forecast.cpp
+++ b/packages/planning/forecast.cpp
@@ -115,35 +115,35 @@
       sites[z.zone] = z.proxies;
     }
     p->as = std::make_unique<LoadBalancer>(p->st);
-    std::vector<LoadBalancer::Seen> rows;
+    std::vector<LoadBalancer::ServerUpdate> rows;
     for (ServerSnapshot const& r : c_.servers) {
-      LoadBalancer::Seen x;
+      LoadBalancer::ServerUpdate x;
       x.id = r.id;
       x.service = r.service;
       x.address = "0.0.0.0:1";
       x.zone = r.zone;
       x.capacity = r.capacity;
       x.ready = r.ready && out_.count(r.id) == 0;
-      x.cold_left = r.coldLeftS;
+      x.warm_up_left = r.coldLeftS;
       rows.push_back(std::move(x));
     }
     LoadBalancer& as = *p->as;
     for (ServiceSnapshot const& x : c_.pools)
-      as.rule(as.pool(x.name), ServiceLimits{static_cast<double>(x.connLimit), x.coldRateS, 0});
-    as.table(rows, 0);
-    as.sites(sites);
-    for (std::size_t i = 0; i < as.targets().size(); ++i) {
-      Endpoint& t = as.at(ServerIndex(static_cast<u32>(i)));
+      as.set_limits(as.service_index(x.name), ServiceLimits{static_cast<double>(x.connLimit), x.coldRateS, 0});
+    as.replace_servers(rows, 0);
+    as.set_proxy_counts(sites);
+    for (std::size_t i = 0; i < as.endpoints().size(); ++i) {
+      Endpoint& t = as.endpoint(ServerIndex(static_cast<u32>(i)));
       if (auto const it = by_id_.find(t.id); it != by_id_.end()) {
-        t.lat = servers_[it->second].lat;
-        t.lat_at = 0;
-        as.know_pool(t.pool, t.lat);
+        t.latency = servers_[it->second].lat;
+        t.latency_at = 0;
+        as.learn_latency(t.service, t.latency);
       }
     }
     std::set<std::string> out = gone_;
     for (ZoneSnapshot const& z : c_.zones)
       if (z.evacuated) out.insert(z.zone);
-    as.evacuated(out, 0);
+    as.set_evacuated_zones(out, 0);
     std::size_t const pi = proxies_.size();
     proxies_.push_back(std::move(p));
     for (std::size_t i = 0; i < s.routes.size(); ++i)
@@ -174,21 +174,21 @@
     if (counts) came_total[l.route] += 1;
     std::vector<LocationIndex> homes;
     EndpointQuery w;
-    w.pool = p.as->pool(l.pool);
+    w.service = p.as->service_index(l.pool);
     for (std::string const& h : l.homes)
-      homes.push_back(p.as->region(h));
+      homes.push_back(p.as->region_index(h));
     if (def != nullptr) w.latency_target = def->setpointS;
     w.homes = &homes;
-    w.bulky = u01() < l.bulky;
+    w.is_upload = u01() < l.bulky;
     LoadBalancer::Choice const ch = p.as->choose(w, e.at);
-    if (!ch.ix || (def != nullptr && should_shed(def->rank, ch.est, def->setpointS))) {
-      if (counts) (ch.no == LoadBalancer::No::none && !ch.ix ? homeless : unserved)[l.route] += 1;
+    if (!ch.server || (def != nullptr && should_shed(def->rank, ch.expected_latency, def->setpointS))) {
+      if (counts) (ch.refusal == LoadBalancer::Refusal::no_candidate && !ch.server ? homeless : unserved)[l.route] += 1;
       return;
     }
-    p.as->took(*ch.ix, e.at);
-    auto const it = by_id_.find(p.as->at(*ch.ix).id);
+    p.as->attempt_started(*ch.server, e.at);
+    auto const it = by_id_.find(p.as->endpoint(*ch.server).id);
     e.server = static_cast<int>(it->second);
-    e.ix = *ch.ix;
+    e.ix = *ch.server;
     e.sent = e.at;
     if (counts) flows[{c_.servers[it->second].zone, l.route}] += 1;
     Server& s = servers_[it->second];
@@ -211,7 +211,7 @@
     --s.busy;
     ServerSnapshot const& cs = c_.servers[i];
     busy[{cs.zone, cs.service}] += std::max(0.0, e.at - std::max(e.began, warm_));
-    proxies_[e.proxy]->as->gave(e.ix, e.at - e.sent, true, e.at);
+    proxies_[e.proxy]->as->attempt_succeeded(e.ix, e.at - e.sent, e.at);
     if (!s.queue.empty()) {
       Event const n = s.queue.front();
       s.queue.pop_front();
--- a/packages/proxy/activity_log.cpp
+++ b/packages/proxy/activity_log.cpp
@@ -9,8 +9,8 @@
 
 void ActivityLog::tick(Seconds now) {
   log_remote_traffic(now);
-  for (; context_.connections.late > 0; --context_.connections.late)
-    context_.requests.fence().drop(ResponseRejection::late_answer);
+  for (; context_.connections.late_responses > 0; --context_.connections.late_responses)
+    context_.requests.filter().count_discard(ResponseRejection::late_answer);
   log_discards(now);
   log_rejections(now);
   log_given_up(now);
@@ -31,7 +31,7 @@
 void ActivityLog::log_discards(Seconds now) {
   if (now - discards_logged_at_ <= kLogInterval) return;
   discards_logged_at_ = now;
-  if (std::string const counts = context_.requests.fence().since(); !counts.empty())
+  if (std::string const counts = context_.requests.filter().summary_since_last(); !counts.empty())
     LOG4CPLUS_INFO(logger_, "Dropped as not the answer that was waited for: " << counts << ".");
 }
 
--- a/packages/proxy/attempt_runner.cpp
+++ b/packages/proxy/attempt_runner.cpp
@@ -18,10 +18,10 @@
 
 EndpointQuery AttemptRunner::query_of(ProxiedRequest const& request) const {
   EndpointQuery query;
-  query.pool = request.service_index;
+  query.service = request.service_index;
   query.homes = &request.home_regions;
   query.attempted = &request.attempted;
-  query.bulky = request.upload;
+  query.is_upload = request.is_upload;
   query.latency_target = request.route->latency_target;
   return query;
 }
@@ -30,11 +30,13 @@
   Seconds const now = steady_now();
   if (request.deadline() - now < kShortestTimeForAttempt) return give_up(request, "no time left");
   LoadBalancer::Choice const choice = context_.load_balancer.choose(query_of(request), now);
-  if (!choice.ix)
-    return give_up(request, choice.no == LoadBalancer::No::none ? "no server may take it" : "all servers at capacity");
-  if (request.retry_state().attempts() == 0 && should_shed(request.rank, choice.est, request.route->latency_target))
+  if (!choice.server)
+    return give_up(request, choice.refusal == LoadBalancer::Refusal::no_candidate ? "no server may take it"
+                                                                                  : "all servers at capacity");
+  if (request.retry_state().attempts() == 0 &&
+      should_shed(request.rank, choice.expected_latency, request.route->latency_target))
     return give_up(request, "shed");
-  send(request, *choice.ix, now);
+  send(request, *choice.server, now);
 }
 
 void AttemptRunner::send(ProxiedRequest& request, ServerIndex server, Seconds now) {
@@ -44,32 +46,32 @@
     case UpstreamSender::Outcome::sent: break;
   }
   usage_.attempt_sent(request, now);
-  request.set_timer(request.retry_state().next(now, true, false));
+  request.set_timer(request.retry_state().next_timer(now, true, false));
 }
 
 void AttemptRunner::give_up(ProxiedRequest& request, char const* reason) {
   Seconds const now = steady_now();
-  flow_.carry_out(request, request.machine.none(now, retry_after(request), reason));
+  flow_.carry_out(request, request.machine.on_no_server(now, retry_after(request), reason));
 }
 
 void AttemptRunner::retire_connection(ProxiedRequest& request) {
   if (request.connection == nullptr) return;
   UpstreamConnection& connection = *request.connection;
   request.connection = nullptr;
-  connection.busy = false;
-  context_.connections.doom(connection);
+  connection.is_busy = false;
+  context_.connections.retire(connection);
 }
 
 void AttemptRunner::on_failed(ProxiedRequest& request, AttemptResult result) {
   Seconds const now = steady_now();
   ServerIndex const server = request.server;
-  bool const was_kept = request.connection != nullptr && request.connection->idle_was >= 0;
+  bool const was_kept = request.connection != nullptr && request.connection->idle_before >= 0;
   retire_connection(request);
-  context_.load_balancer.dropped(server);
-  if (!surely_not_run(result)) usage_.count(request);
+  context_.load_balancer.attempt_abandoned(server);
+  if (!proves_not_run(result)) usage_.count(request);
   report_failure(server, result, was_kept, request.retry_state().attempt_started_at(), now);
-  flow_.carry_out(request, request.machine.ended(result, now, retry_after(request), [&] {
-    return context_.load_balancer.budget(request.service_index).take(now, context_.load_balancer.part());
+  flow_.carry_out(request, request.machine.on_attempt_ended(result, now, retry_after(request), [&] {
+    return context_.load_balancer.retry_budget(request.service_index).take(now, context_.load_balancer.proxy_share());
   }));
 }
 
@@ -79,34 +81,34 @@
   switch (result) {
     // A server that closes a kept connection is healthy; only one that lets nobody in is ejected.
     case AttemptResult::unsent:
-      if (!was_kept) balancer.shun(server, kEjection, now);
+      if (!was_kept) balancer.eject(server, kEjection, now);
       break;
-    case AttemptResult::misdirected: balancer.misdirected(server); break;
-    case AttemptResult::not_run: balancer.full(server, now); break;
+    case AttemptResult::misdirected: balancer.report_misdirected(server); break;
+    case AttemptResult::not_run: balancer.report_at_capacity(server, now); break;
     case AttemptResult::broken:
-      balancer.shun(server, now - attempt_started_at > kLongAttempt ? kEjection : kShortEjection, now);
+      balancer.eject(server, now - attempt_started_at > kLongAttempt ? kEjection : kShortEjection, now);
       break;
-    case AttemptResult::silent: balancer.shun(server, kShortEjection, now); break;
-    case AttemptResult::whole: break;
+    case AttemptResult::silent: balancer.eject(server, kShortEjection, now); break;
+    case AttemptResult::complete: break;
   }
 }
 
 void AttemptRunner::on_timer(ProxiedRequest& request) {
   Seconds const now = steady_now();
   bool const has_connection = request.connection != nullptr;
-  bool const is_sent = has_connection && request.connection->sent;
-  switch (request.retry_state().due(now, has_connection, is_sent, context_.drain.is_terminating())) {
-    case RetryState::Due::expired: return expire(request, now);
-    case RetryState::Due::unsent: return on_failed(request, AttemptResult::unsent);
-    case RetryState::Due::late:
+  bool const is_sent = has_connection && request.connection->has_sent;
+  switch (request.retry_state().timer_meaning(now, has_connection, is_sent, context_.drain.is_terminating())) {
+    case RetryState::TimerMeaning::expired: return expire(request, now);
+    case RetryState::TimerMeaning::unsent: return on_failed(request, AttemptResult::unsent);
+    case RetryState::TimerMeaning::late:
       if (request.deadline() - now >
-              kLatencyPartLeftForReplacement * context_.load_balancer.lat_of(request.service_index) &&
+              kLatencyPartLeftForReplacement * context_.load_balancer.mean_latency(request.service_index) &&
           replace_late_attempt(request, now))
         return;
       break;
-    case RetryState::Due::wait: break;
+    case RetryState::TimerMeaning::wait: break;
   }
-  request.set_timer(request.retry_state().next(now, has_connection, is_sent));
+  request.set_timer(request.retry_state().next_timer(now, has_connection, is_sent));
 }
 
 bool AttemptRunner::replace_late_attempt(ProxiedRequest& request, Seconds now) {
@@ -114,28 +116,30 @@
   LoadBalancer::Choice choice;
   auto const choose_server = [&] {
     choice = balancer.choose(query_of(request), now);
-    return static_cast<bool>(choice.ix);
+    return static_cast<bool>(choice.server);
+  };
+  auto const spend_budget = [&] {
+    return balancer.retry_budget(request.service_index).take(now, balancer.proxy_share());
   };
-  auto const spend_budget = [&] { return balancer.budget(request.service_index).take(now, balancer.part()); };
   if (!request.machine.replace_attempt(now, context_.drain.is_terminating(), choose_server, spend_budget)) return false;
   ServerIndex const server = request.server;
   retire_connection(request);
-  balancer.dropped(server);
+  balancer.attempt_abandoned(server);
   usage_.count(request);
-  balancer.shun(server, kShortEjection, now);
-  send(request, *choice.ix, now);
+  balancer.eject(server, kShortEjection, now);
+  send(request, *choice.server, now);
   return true;
 }
 
 void AttemptRunner::expire(ProxiedRequest& request, Seconds now) {
-  bool const is_sent = request.connection != nullptr && request.connection->sent;
+  bool const is_sent = request.connection != nullptr && request.connection->has_sent;
   if (is_sent) usage_.count(request);
   if (request.connection != nullptr) {
     retire_connection(request);
-    context_.load_balancer.dropped(request.server);
-    context_.load_balancer.shun(request.server, kShortEjection, now);
+    context_.load_balancer.attempt_abandoned(request.server);
+    context_.load_balancer.eject(request.server, kShortEjection, now);
   }
-  flow_.carry_out(request, request.machine.expired(is_sent));
+  flow_.carry_out(request, request.machine.on_deadline(is_sent));
 }
 
 }  // namespace dockbend
--- a/packages/proxy/include/proxy/attempt_runner.hpp
+++ b/packages/proxy/include/proxy/attempt_runner.hpp
@@ -8,7 +8,7 @@
 
 namespace dockbend {
 
-/// A request is here from RequestAction::Do::choose until a server's answer or its deadline.
+/// A request is here from RequestAction::Step::choose_server until a server's answer or its deadline.
 class AttemptRunner {
  public:
   AttemptRunner(ProxyContext& context, RequestFlow& flow, UsageMetering& usage)
@@ -24,7 +24,7 @@
  private:
   EndpointQuery query_of(ProxiedRequest const& request) const;
   void send(ProxiedRequest& request, ServerIndex server, Seconds now);
-  /// No server can take it. If it has not run, the client is told when to come back.
+  /// No server can take it. If it has not run, the reply says when to come back.
   void give_up(ProxiedRequest& request, char const* reason);
   /// Breaks off an attempt at a server that is at work and sends to another one, once all that the retry needs is
   /// had. Nothing else runs between the choice of the server and the send to it. False: nothing has changed.
--- a/packages/proxy/include/proxy/front_listener.hpp
+++ b/packages/proxy/include/proxy/front_listener.hpp
@@ -24,7 +24,7 @@
   bool is_accepting() const { return socket_ != nullptr; }
 
   /// Bodies that have begun to arrive and are not complete; those silent for more than `idle_ticks` don't count.
-  u32 open_body_reads(u64 idle_ticks) const { return body_reads_.open(idle_ticks); }
+  u32 open_body_reads(u64 idle_ticks) const { return body_reads_.open_reads(idle_ticks); }
   void tick() { body_reads_.tick(); }
 
  private:
--- a/packages/proxy/include/proxy/idempotency_client.hpp
+++ b/packages/proxy/include/proxy/idempotency_client.hpp
@@ -7,8 +7,8 @@
 
 namespace dockbend {
 
-/// A keyed request waits here between RequestAction::Do::claim and the agent's answer, its own deadline or the end of
-/// the agent's connection.
+/// A keyed request waits here between RequestAction::Step::acquire_key and the agent's answer, its own deadline or the
+/// end of the agent's connection.
 class IdempotencyClient {
  public:
   IdempotencyClient(ProxyContext& context, RequestFlow& flow, ResponseWriter const& writer)
--- a/packages/proxy/include/proxy/proxied_request.hpp
+++ b/packages/proxy/include/proxy/proxied_request.hpp
@@ -23,7 +23,7 @@
 /// Invariants: client_request is answered exactly once, and the request is removed from the table right after that;
 /// connection is set exactly while the state machine is in an attempt.
 struct ProxiedRequest : AdmittedRequest {
-  /// Creates the timer, unarmed. flow is told when it fires and must outlive the request.
+  /// Creates the timer, unarmed. flow is called when it fires and must outlive the request.
   ProxiedRequest(event_base* loop, RequestFlow& flow);
   ProxiedRequest(ProxiedRequest const&) = delete;
 
@@ -49,7 +49,7 @@
   bool has_waited_for_quota = false;  ///< asked the allocator for a token once; it does not ask again
   QuotaClient::Token quota_token;
 
-  RetryState const& retry_state() const { return machine.course(); }
+  RetryState const& retry_state() const { return machine.retry_state(); }
   Seconds deadline() const { return retry_state().deadline(); }
   /// Arms the timer for `at` (steady clock), at the earliest half a millisecond from now.
   void set_timer(Seconds at);
--- a/packages/proxy/load_reporter.cpp
+++ b/packages/proxy/load_reporter.cpp
@@ -57,9 +57,9 @@
   ProxyDrainState& maintenance = context_.drain.maintenance();
   u32 keyed = 0, uploads = 0;
   if (maintenance.concerned()) {
-    context_.requests.each([&](ProxiedRequest const& request) {
+    context_.requests.for_each([&](ProxiedRequest const& request) {
       keyed += request.route->kind == schema::RouteKind::keyed ? 1 : 0;
-      uploads += request.upload ? 1 : 0;
+      uploads += request.is_upload ? 1 : 0;
     });
     // A connection that was silent for longer than a client may be idle has ended.
     u64 const idle_ticks =
--- a/packages/proxy/proxy.cpp
+++ b/packages/proxy/proxy.cpp
@@ -28,7 +28,7 @@
   agent_.tick(now);
   driver_.usage().tick(now);
   driver_.quota().request_lease(now);
-  context_.connections.sweep(now);
+  context_.connections.retire_expired(now);
   activity_log_.tick(now);
   shutdown_.tick(now);
 }
--- a/packages/proxy/proxy_context.cpp
+++ b/packages/proxy/proxy_context.cpp
@@ -22,11 +22,12 @@
 }
 
 bool ProxyContext::is_ready() const {
-  return has_configuration && configuration.routes() > 0 && load_balancer.live() > 0 && !drain.is_shutting_down();
+  return has_configuration && configuration.routes() > 0 && load_balancer.ready_servers() > 0 &&
+         !drain.is_shutting_down();
 }
 
 bool ProxyContext::is_remote(ServerIndex server) {
-  return !(load_balancer.at(server).region == load_balancer.region(settings.region));
+  return !(load_balancer.endpoint(server).region == load_balancer.region_index(settings.region));
 }
 
 }  // namespace dockbend
--- a/packages/proxy/quota_gate.cpp
+++ b/packages/proxy/quota_gate.cpp
@@ -12,10 +12,10 @@
 
 void QuotaGate::admit(ProxiedRequest& request, Seconds now) {
   if (!request.tenant || !client_.has(request.tenant->name))
-    return flow_.carry_out(request, request.machine.admitted());
+    return flow_.carry_out(request, request.machine.on_quota_granted());
   std::string const& tenant = request.tenant->name;
   request.quota_token = client_.take(tenant, may_use_reserve(request), now);
-  if (request.quota_token) return flow_.carry_out(request, request.machine.admitted());
+  if (request.quota_token) return flow_.carry_out(request, request.machine.on_quota_granted());
   // The allocator may have tokens: it is asked at once, and its answer is waited for as long as that is of use to
   // the client. After that answer nothing waits.
   if (!request.has_waited_for_quota && context_.agent.up()) {
@@ -34,7 +34,7 @@
 
 void QuotaGate::refuse(ProxiedRequest& request) {
   client_.refused(request.tenant->name);
-  flow_.carry_out(request, request.machine.overdrawn(client_.wait_of(request.tenant->name)));
+  flow_.carry_out(request, request.machine.on_quota_refused(client_.wait_of(request.tenant->name)));
 }
 
 void QuotaGate::refund(ProxiedRequest& request) {
@@ -72,7 +72,7 @@
     if (!tenant->allowance) continue;
     limited.insert(tenant->name);
     QuotaRule const rule{tenant->allowance->rate, tenant->allowance->burst, tenant->allowance->reserve.value_or(0)};
-    client_.rule(tenant->name, rule, context_.load_balancer.sites_of_all(), now);
+    client_.rule(tenant->name, rule, context_.load_balancer.proxy_count(), now);
   }
   for (std::string const& name : client_.tenants())
     if (limited.count(name) == 0) client_.drop(name);
--- a/packages/proxy/request_driver.cpp
+++ b/packages/proxy/request_driver.cpp
@@ -17,19 +17,19 @@
 }
 
 void RequestDriver::carry_out(ProxiedRequest& request, RequestAction const& action) {
-  if (action.refund) quota_.refund(request);
+  if (action.refunds_quota) quota_.refund(request);
   if (action.claim == ClaimDisposition::not_run) key_outcomes_.report(request, KeyOutcome::not_run);
   if (action.claim == ClaimDisposition::lost) key_outcomes_.report(request, KeyOutcome::lost);
-  if (action.why != nullptr) ++context_.given_up[action.why];
-  switch (action.what) {
-    case RequestAction::Do::claim: return idempotency_.acquire(request);
-    case RequestAction::Do::choose: return attempts_.start(request);
-    case RequestAction::Do::say:
-      writer_.write_local_reply(request.client_request, action.verdict, request.machine.id());
+  if (action.reason != nullptr) ++context_.given_up[action.reason];
+  switch (action.step) {
+    case RequestAction::Step::acquire_key: return idempotency_.acquire(request);
+    case RequestAction::Step::choose_server: return attempts_.start(request);
+    case RequestAction::Step::send_local_reply:
+      writer_.write_local_reply(request.client_request, action.reply, request.machine.attempt_id());
       return finish(request);
-    case RequestAction::Do::wait:
-    case RequestAction::Do::pass:
-    case RequestAction::Do::repeat: break;
+    case RequestAction::Step::wait:
+    case RequestAction::Step::forward_response:
+    case RequestAction::Step::send_stored_answer: break;
   }
 }
 
--- a/packages/proxy/request_intake.cpp
+++ b/packages/proxy/request_intake.cpp
@@ -28,34 +28,35 @@
   AdmissionResult result =
       admit(incoming, context_.has_configuration ? &context_.configuration : nullptr, context_.configuration.limits(),
             context_.drain.is_draining_for_maintenance(), random01());
-  if (result.why != nullptr) ++context_.given_up[result.why];
-  if (!result.ok) return refuse(client_request, result);
+  if (result.reason != nullptr) ++context_.given_up[result.reason];
+  if (!result.request) return refuse(client_request, result);
   ProxiedRequest& request = open(client_request, std::move(result), now);
-  context_.load_balancer.budget(request.service_index).errand(now);
-  context_.traffic_observer.errand(request.route->name, context_.load_balancer.pool_name(request.service_index),
-                                   request.homes, request.upload, now);
+  context_.load_balancer.retry_budget(request.service_index).request_arrived(now);
+  context_.traffic_observer.errand(request.route->name, context_.load_balancer.service_name(request.service_index),
+                                   request.homes, request.is_upload, now);
   quota_.admit(request, now);
 }
 
 void RequestIntake::refuse(evhttp_request* client_request, AdmissionResult const& result) {
-  if (result.no.code == 400) ++rejected_input().calls;
-  writer_.write_local_reply(client_request, result.no, result.id);
+  if (result.refusal.status == 400) ++rejected_input().calls;
+  writer_.write_local_reply(client_request, result.refusal, result.attempt_id);
 }
 
 ProxiedRequest& RequestIntake::open(evhttp_request* client_request, AdmissionResult&& result, Seconds now) {
   auto owner = std::make_unique<ProxiedRequest>(context_.loop, flow_);
   ProxiedRequest& request = *owner;
-  static_cast<AdmittedRequest&>(request) = std::move(*result.ok);
+  static_cast<AdmittedRequest&>(request) = std::move(*result.request);
   request.client_request = client_request;
   request.method = evhttp_request_get_command(client_request);
   request.target = evhttp_request_get_uri(client_request);
   request.arrived_at = now;
   request.body_bytes = body_bytes_of(client_request);
   request.service_index = routing_.index_of(*request.service);
-  request.machine = RequestMachine(std::move(result.id), request.route->kind == schema::RouteKind::keyed,
-                                   RetryState(request.repeatable, request.route->max_attempts, now + request.left));
+  request.machine =
+      RequestMachine(std::move(result.attempt_id), request.route->kind == schema::RouteKind::keyed,
+                     RetryState(request.is_repeatable, request.route->max_attempts, now + request.time_left));
   for (std::string const& home : request.homes)
-    request.home_regions.push_back(context_.load_balancer.region(home));
+    request.home_regions.push_back(context_.load_balancer.region_index(home));
   return context_.requests.open(std::move(owner));
 }
 
--- a/packages/proxy/response_receiver.cpp
+++ b/packages/proxy/response_receiver.cpp
@@ -19,7 +19,7 @@
 Seconds constexpr kWarmUpBound = 1e9;
 
 Seconds idle_limit_of(UpstreamResponse const& response) {
-  std::string const* const keep_alive = find_head(response.heads, "Keep-Alive");
+  std::string const* const keep_alive = find_header(response.headers, "Keep-Alive");
   if (keep_alive == nullptr) return kIdleLimit;
   std::string_view constexpr name = "timeout=";
   auto const position = keep_alive->find(name);
@@ -29,63 +29,64 @@
 }
 
 bool says_close(UpstreamResponse const& response) {
-  std::string const* const value = find_head(response.heads, "Connection");
-  return value != nullptr && same_name(*value, "close");
+  std::string const* const value = find_header(response.headers, "Connection");
+  return value != nullptr && same_header_name(*value, "close");
 }
 
 bool has_unread_bytes(UpstreamConnection const& connection) {
-  bufferevent* const socket = evhttp_connection_get_bufferevent(connection.ec);
+  bufferevent* const socket = evhttp_connection_get_bufferevent(connection.http.get());
   return evbuffer_get_length(bufferevent_get_input(socket)) > 0;
 }
 }  // namespace
 
 void ResponseReceiver::on_return(UpstreamConnection& connection, evhttp_request* upstream_request) {
-  ProxiedRequest* const request = context_.requests.on(RequestsInFlight::Handle::of(connection.owner), &connection);
-  if (request == nullptr) return context_.connections.doom(connection);
+  ProxiedRequest* const request =
+      context_.requests.find_attempt(RequestsInFlight::Handle::from_pointer(connection.owner), &connection);
+  if (request == nullptr) return context_.connections.retire(connection);
   Seconds const now = steady_now();
   if (upstream_request == nullptr || evhttp_request_get_response_code(upstream_request) == 0)
     return on_no_response(*request, connection, now);
   UpstreamResponse const response = read_response(*request, upstream_request);
   count_bytes(response, connection.server);
-  ResponseCheck const check = request->machine.judge(response);
-  if (check.why) context_.requests.fence().drop(*check.why);
+  ResponseCheck const check = request->machine.check_response(response);
+  if (check.rejection) context_.requests.filter().count_discard(*check.rejection);
   bool const has_surplus = has_unread_bytes(connection);
-  if (has_surplus) context_.requests.fence().drop(ResponseRejection::surplus);
+  if (has_surplus) context_.requests.filter().count_discard(ResponseRejection::surplus);
   learn_warm_up(response, connection.server, now);
-  release_connection(*request, connection, response, check.end, has_surplus, now);
-  if (check.end != AttemptResult::whole) return attempts_.on_failed(*request, check.end);
+  release_connection(*request, connection, response, check.result, has_surplus, now);
+  if (check.result != AttemptResult::complete) return attempts_.on_failed(*request, check.result);
   forward(*request, upstream_request, response, now);
 }
 
 void ResponseReceiver::on_no_response(ProxiedRequest& request, UpstreamConnection& connection, Seconds now) {
   // An idle connection that the server had closed or forgotten: no byte came back.
-  if (connection.idle_was > 0 && now - request.retry_state().attempt_started_at() < kIdleResetWithin)
-    context_.load_balancer.idle_lost(connection.server, connection.idle_was, now);
-  attempts_.on_failed(request, connection.sent ? AttemptResult::broken : AttemptResult::unsent);
+  if (connection.idle_before > 0 && now - request.retry_state().attempt_started_at() < kIdleResetWithin)
+    context_.load_balancer.report_idle_reset(connection.server, connection.idle_before, now);
+  attempts_.on_failed(request, connection.has_sent ? AttemptResult::broken : AttemptResult::unsent);
 }
 
 UpstreamResponse ResponseReceiver::read_response(ProxiedRequest const& request,
                                                  evhttp_request* upstream_request) const {
   UpstreamResponse response;
-  response.code = evhttp_request_get_response_code(upstream_request);
-  response.heads = headers_of(evhttp_request_get_input_headers(upstream_request));
-  response.body = evbuffer_get_length(evhttp_request_get_input_buffer(upstream_request));
-  response.head = request.method == EVHTTP_REQ_HEAD;
+  response.status = evhttp_request_get_response_code(upstream_request);
+  response.headers = headers_of(evhttp_request_get_input_headers(upstream_request));
+  response.body_bytes = evbuffer_get_length(evhttp_request_get_input_buffer(upstream_request));
+  response.answers_head_request = request.method == EVHTTP_REQ_HEAD;
   return response;
 }
 
 void ResponseReceiver::count_bytes(UpstreamResponse const& response, ServerIndex server) {
-  double const bytes = static_cast<double>(response.body) + kResponseOverheadBytes;
+  double const bytes = static_cast<double>(response.body_bytes) + kResponseOverheadBytes;
   context_.traffic.bytes_in += bytes;
   context_.traffic.bytes_out += bytes;
   if (context_.is_remote(server)) context_.traffic.remote_bytes_in += bytes;
 }
 
 void ResponseReceiver::learn_warm_up(UpstreamResponse const& response, ServerIndex server, Seconds now) {
-  std::string const* const value = find_head(response.heads, "X-Cold-Remaining");
+  std::string const* const value = find_header(response.headers, "X-Cold-Remaining");
   if (value == nullptr) return;
   Seconds const left = std::strtod(value->c_str(), nullptr);
-  if (left > 0 && left < kWarmUpBound) context_.load_balancer.cold(server, left, now);
+  if (left > 0 && left < kWarmUpBound) context_.load_balancer.start_warm_up(server, left, now);
 }
 
 void ResponseReceiver::release_connection(ProxiedRequest& request, UpstreamConnection& connection,
@@ -95,20 +96,20 @@
       result != AttemptResult::broken && !has_surplus && !says_close(response) && !context_.drain.is_shutting_down();
   if (may_be_kept) {
     request.connection = nullptr;
-    context_.connections.keep(connection, idle_limit_of(response), now);
-  } else if (result == AttemptResult::whole || result == AttemptResult::not_run ||
+    context_.connections.release_idle(connection, idle_limit_of(response), now);
+  } else if (result == AttemptResult::complete || result == AttemptResult::not_run ||
              result == AttemptResult::misdirected) {
     request.connection = nullptr;
-    context_.connections.doom(connection);
+    context_.connections.retire(connection);
   }
 }
 
 void ResponseReceiver::forward(ProxiedRequest& request, evhttp_request* upstream_request,
                                UpstreamResponse const& response, Seconds now) {
-  context_.load_balancer.gave(request.server, now - request.retry_state().attempt_started_at(), true, now);
-  if (response.code >= 500) context_.load_balancer.failed(request.server, now);
+  context_.load_balancer.attempt_succeeded(request.server, now - request.retry_state().attempt_started_at(), now);
+  if (response.status >= 500) context_.load_balancer.report_failure(request.server, now);
   usage_.count(request);
-  RequestAction const action = request.machine.ended(AttemptResult::whole, now, 0, [] { return false; });
+  RequestAction const action = request.machine.on_attempt_ended(AttemptResult::complete, now, 0, [] { return false; });
   flow_.carry_out(request, action);
   evbuffer* const body = evhttp_request_get_input_buffer(upstream_request);
   if (action.claim == ClaimDisposition::returned)
--- a/packages/proxy/response_writer.cpp
+++ b/packages/proxy/response_writer.cpp
@@ -22,23 +22,23 @@
     std::snprintf(text, sizeof text, "%.3f", reply.retry_after);
     evhttp_add_header(headers, "Retry-After", text);
   }
-  if (reply.close || drain_.closes_connections()) evhttp_add_header(headers, "Connection", "close");
+  if (reply.closes_connection || drain_.closes_connections()) evhttp_add_header(headers, "Connection", "close");
   evhttp_add_header(headers, "Content-Type", "text/plain");
   BufferOwner const body(evbuffer_new());
   evbuffer_add_printf(body.get(), "%s\n", reply.reason);
-  evhttp_send_reply(client_request, reply.code, reply.reason, body.get());
+  evhttp_send_reply(client_request, reply.status, reply.reason, body.get());
 }
 
 void ResponseWriter::forward(ProxiedRequest& request, evhttp_request* upstream_request,
                              UpstreamResponse const& response, evbuffer* body) const {
   evkeyvalq* const headers = evhttp_request_get_output_headers(request.client_request);
-  for (auto const& [name, value] : response.heads)
-    if (!hop_only(name) || (response.head && same_name(name, "Content-Length")))
+  for (auto const& [name, value] : response.headers)
+    if (!is_hop_by_hop(name) || (response.answers_head_request && same_header_name(name, "Content-Length")))
       evhttp_add_header(headers, name.c_str(), value.c_str());
   close_if_draining(headers);
   char const* const line = evhttp_request_get_response_code_line(upstream_request);
-  evhttp_send_reply(request.client_request, response.code,
-                    line != nullptr && *line != '\0' ? line : reason_of(response.code), body);
+  evhttp_send_reply(request.client_request, response.status,
+                    line != nullptr && *line != '\0' ? line : reason_phrase(response.status), body);
 }
 
 void ResponseWriter::write_stored_answer(ProxiedRequest& request, StoredAnswer const& answer) const {
@@ -47,10 +47,10 @@
     auto const colon = header.find(':');
     if (colon == std::string::npos) continue;
     std::string const name = header.substr(0, colon);
-    if (same_name(name, "X-Attempt-Id")) continue;
+    if (same_header_name(name, "X-Attempt-Id")) continue;
     evhttp_add_header(headers, name.c_str(), header.substr(colon + 1).c_str());
   }
-  evhttp_add_header(headers, "X-Attempt-Id", request.machine.id().c_str());
+  evhttp_add_header(headers, "X-Attempt-Id", request.machine.attempt_id().c_str());
   close_if_draining(headers);
   BufferOwner const body(evbuffer_new());
   evbuffer_add(body.get(), answer.body.data(), answer.body.size());
@@ -63,13 +63,13 @@
   answer.key = request.key;
   answer.holder = request.key_holder;
   answer.homes = request.homes;
-  answer.code = static_cast<u32>(response.code);
+  answer.code = static_cast<u32>(response.status);
   char const* const line = evhttp_request_get_response_code_line(upstream_request);
   answer.reason = line != nullptr ? line : "OK";
-  for (auto const& [name, value] : response.heads)
-    if (!hop_only(name) && !same_name(name, "Date")) answer.heads.push_back(name + ":" + value);
-  answer.body.resize(response.body);
-  evbuffer_copyout(body, answer.body.data(), response.body);
+  for (auto const& [name, value] : response.headers)
+    if (!is_hop_by_hop(name) && !same_header_name(name, "Date")) answer.heads.push_back(name + ":" + value);
+  answer.body.resize(response.body_bytes);
+  evbuffer_copyout(body, answer.body.data(), response.body_bytes);
   return answer;
 }
 
--- a/packages/proxy/service_routing.cpp
+++ b/packages/proxy/service_routing.cpp
@@ -4,10 +4,10 @@
 
 ServiceIndex ServiceRouting::index_of(std::string const& service) {
   if (services_.insert(service).second) {
-    context_.load_balancer.pool(service);
+    context_.load_balancer.service_index(service);
     set_limits(service);
   }
-  return context_.load_balancer.pool(service);
+  return context_.load_balancer.service_index(service);
 }
 
 void ServiceRouting::update_limits() {
@@ -19,7 +19,7 @@
   ServiceConfig const* const config = context_.configuration.pool(service);
   if (config == nullptr) return;
   ServiceLimits const limits{static_cast<double>(config->conn_limit), config->cold_rate, config->cold_s};
-  context_.load_balancer.rule(context_.load_balancer.pool(service), limits);
+  context_.load_balancer.set_limits(context_.load_balancer.service_index(service), limits);
 }
 
 }  // namespace dockbend
--- a/packages/proxy/state_applier.cpp
+++ b/packages/proxy/state_applier.cpp
@@ -12,7 +12,7 @@
   usage_.forget_before(UsageWindow(first_open_window_));
   if (update.rows_full || !update.rows.empty()) apply_servers(update, now);
   if (!update.sites.empty()) apply_proxy_counts(update.sites, now);
-  context_.load_balancer.evacuated(evacuated_zones_, now);
+  context_.load_balancer.set_evacuated_zones(evacuated_zones_, now);
 }
 
 void StateApplier::apply_state(std::string const& bytes, Seconds now) {
@@ -39,30 +39,30 @@
 }
 
 void StateApplier::apply_servers(StateUpdate const& update, Seconds now) {
-  std::vector<LoadBalancer::Seen> servers;
+  std::vector<LoadBalancer::ServerUpdate> servers;
   for (ServerRecord const& record : update.rows) {
-    LoadBalancer::Seen server;
+    LoadBalancer::ServerUpdate server;
     server.id = record.id;
     server.service = record.service;
     server.address = record.address;
     server.zone = record.zone;
     server.capacity = record.capacity;
     server.ready = record.state == ServerState::ready;
-    server.cold_left = record.cold_left;
+    server.warm_up_left = record.cold_left;
     servers.push_back(std::move(server));
   }
   if (update.rows_full)
-    context_.load_balancer.table(servers, now);
+    context_.load_balancer.replace_servers(servers, now);
   else
-    context_.load_balancer.change(servers, now);
-  context_.connections.trim(context_.load_balancer.gone_idle());
+    context_.load_balancer.update_servers(servers, now);
+  context_.connections.retire_idle_of(context_.load_balancer.retired_servers());
 }
 
 void StateApplier::apply_proxy_counts(std::vector<ZoneProxyCount> const& counts, Seconds now) {
   std::map<std::string, u32> count_by_zone;
   for (ZoneProxyCount const& entry : counts)
     count_by_zone[entry.zone] = entry.n;
-  context_.load_balancer.sites(count_by_zone);
+  context_.load_balancer.set_proxy_counts(count_by_zone);
   quota_.update_rules(now);
 }
 
@@ -70,7 +70,7 @@
   evacuated_zones_.clear();
   for (Evacuation const& evacuation : evacuations)
     if (evacuation.on) evacuated_zones_.insert(evacuation.zone);
-  context_.load_balancer.evacuated(evacuated_zones_, now);
+  context_.load_balancer.set_evacuated_zones(evacuated_zones_, now);
 }
 
 void StateApplier::configuration_changed(Seconds now) {
--- a/packages/proxy/survey_responder.cpp
+++ b/packages/proxy/survey_responder.cpp
@@ -26,9 +26,9 @@
   std::map<std::string, OpenWork> work_by_server;
   for (std::string const& id : servers)
     work_by_server[id].id = id;
-  context_.requests.each([&](ProxiedRequest const& request) {
+  context_.requests.for_each([&](ProxiedRequest const& request) {
     if (request.connection == nullptr) return;
-    std::string const& id = context_.load_balancer.at(request.server).id;
+    std::string const& id = context_.load_balancer.endpoint(request.server).id;
     auto it = work_by_server.find(id);
     if (it == work_by_server.end() && servers.empty()) {
       it = work_by_server.try_emplace(id).first;
@@ -38,7 +38,7 @@
     OpenWork& work = it->second;
     ++work.sessions;
     work.keyed += request.route->kind == schema::RouteKind::keyed ? 1 : 0;
-    if (!request.upload) return;
+    if (!request.is_upload) return;
     ++work.uploads;
     work.bytes += static_cast<double>(request.body_bytes);
     work.age = std::max(work.age, now - request.arrived_at);
@@ -50,20 +50,21 @@
 }
 
 void SurveyResponder::fill_discards(TrafficSurvey& survey) {
-  ResponseFilter const& filter = context_.requests.fence();
+  ResponseFilter const& filter = context_.requests.filter();
   for (u8 i = 0; i < static_cast<u8>(ResponseRejection::count); ++i) {
     auto const cause = static_cast<ResponseRejection>(i);
-    if (filter.dropped(cause) > 0) survey.dropped.push_back(DiscardCount{drop_name(cause), filter.dropped(cause)});
+    if (filter.discarded(cause) > 0)
+      survey.dropped.push_back(DiscardCount{rejection_name(cause), filter.discarded(cause)});
   }
 }
 
 void SurveyResponder::fill_latencies(TrafficSurvey& survey) const {
-  for (Endpoint const& endpoint : context_.load_balancer.targets()) {
-    if (!endpoint.ready || endpoint.lat <= 0) continue;
+  for (Endpoint const& endpoint : context_.load_balancer.endpoints()) {
+    if (!endpoint.ready || endpoint.latency <= 0) continue;
     ServerLatency latency;
     latency.id = endpoint.id;
-    latency.lat = endpoint.lat;
-    latency.dev = endpoint.dev;
+    latency.lat = endpoint.latency;
+    latency.dev = endpoint.latency_deviation;
     latency.told = true;
     survey.speeds.push_back(std::move(latency));
   }
--- a/packages/proxy/upstream_sender.cpp
+++ b/packages/proxy/upstream_sender.cpp
@@ -21,28 +21,29 @@
 double constexpr kRequestOverheadBytes = 600;
 
 bool stays_at_proxy(char const* name, bool has_tenants) {
-  if (hop_only(name) || same_name(name, "X-Time-Left") || same_name(name, "X-Target-Server") ||
-      same_name(name, "X-Tenant"))
+  if (is_hop_by_hop(name) || same_header_name(name, "X-Time-Left") || same_header_name(name, "X-Target-Server") ||
+      same_header_name(name, "X-Tenant"))
     return true;
-  return has_tenants && same_name(name, "Authorization");
+  return has_tenants && same_header_name(name, "Authorization");
 }
 }  // namespace
 
 UpstreamSender::Outcome UpstreamSender::send(ProxiedRequest& request, ServerIndex server, Seconds now) {
   LoadBalancer& balancer = context_.load_balancer;
-  Endpoint const& endpoint = balancer.at(server);
-  Seconds const safe_idle_time = balancer.idle_safe(server, request.retry_state().repeatable(), now);
-  UpstreamConnection& connection = context_.connections.take(server, safe_idle_time, now, request.handle.ptr());
-  balancer.took(server, now);
+  Endpoint const& endpoint = balancer.endpoint(server);
+  Seconds const safe_idle_time = balancer.safe_idle_time(server, request.retry_state().is_repeatable(), now);
+  UpstreamConnection& connection =
+      context_.connections.acquire(server, safe_idle_time, now, request.handle.to_pointer());
+  balancer.attempt_started(server, now);
   request.connection = &connection;
   request.server = server;
-  Seconds const patience = std::max(kPatienceInMeanLatencies * balancer.lat_of(request.service_index),
+  Seconds const patience = std::max(kPatienceInMeanLatencies * balancer.mean_latency(request.service_index),
                                     request.route->latency_target * kPatiencePartOfTarget);
-  request.machine.began(now, patience, connect_limit(request));
+  request.machine.attempt_started(now, patience, connect_limit(request));
   request.attempted.push_back(server);
   context_.traffic_observer.sent(request.route->name, balancer.zone_name(endpoint.zone), now);
 
-  evhttp_request* const upstream_request = context_.connections.request(connection);
+  evhttp_request* const upstream_request = context_.connections.new_request(connection);
   add_headers(upstream_request, request, endpoint.id, now);
   if (request.body_bytes > 0)
     evbuffer_add_buffer_reference(evhttp_request_get_output_buffer(upstream_request),
@@ -67,7 +68,7 @@
   evkeyvalq* const out = evhttp_request_get_output_headers(upstream_request);
   evkeyvalq* const in = evhttp_request_get_input_headers(request.client_request);
   for (evkeyval* header = in->tqh_first; header != nullptr; header = header->next.tqe_next)
-    if (!stays_at_proxy(header->key, request.gated)) evhttp_add_header(out, header->key, header->value);
+    if (!stays_at_proxy(header->key, request.has_tenants)) evhttp_add_header(out, header->key, header->value);
   if (request.tenant) evhttp_add_header(out, "X-Tenant", request.tenant->name.c_str());
   char milliseconds[32];
   std::snprintf(milliseconds, sizeof milliseconds, "%d",
@@ -84,7 +85,7 @@
 // A machine that does not even acknowledge our bytes is not there. What may be attempted again need not wait long to
 // learn it; what may not gets the longer time, for giving up on it helps nobody.
 int UpstreamSender::acknowledgement_timeout_ms(ProxiedRequest const& request, bool is_remote) const {
-  if (!request.retry_state().repeatable()) return kOnlyAttemptAcknowledgementTimeoutMs;
+  if (!request.retry_state().is_repeatable()) return kOnlyAttemptAcknowledgementTimeoutMs;
   return is_remote ? kRemoteAcknowledgementTimeoutMs : kAcknowledgementTimeoutMs;
 }
 
--- a/packages/proxy/usage_metering.cpp
+++ b/packages/proxy/usage_metering.cpp
@@ -32,7 +32,7 @@
     uncounted_.pop_front();
     ProxiedRequest* const request = context_.requests.find(attempt.handle);
     if (request != nullptr && request->retry_state().attempts() == attempt.attempts && request->connection != nullptr &&
-        request->connection->sent)
+        request->connection->has_sent)
       count(*request);
   }
 }
--- a/packages/request/admission.cpp
+++ b/packages/request/admission.cpp
@@ -9,141 +9,184 @@
 
 using schema::RouteKind;
 
-// What is read of the head. Invariant: a name that must be said once is counted.
-struct Named {
-  std::string const *id = nullptr, *key = nullptr, *host = nullptr, *time_left = nullptr, *authorization = nullptr;
-  std::size_t ids = 0, keys = 0, hosts = 0;
+Seconds constexpr kRetryAfterWithoutConfiguration = 0.3, kRetryAfterDraining = 0.05, kRetryAfterNoHome = 1.0;
+
+/// What is read of the headers: the first value of each, and the number of those that must come at most once.
+struct KnownHeaders {
+  std::string const *attempt_id = nullptr, *key = nullptr, *host = nullptr, *time_left = nullptr,
+                    *authorization = nullptr;
+  std::size_t attempt_ids = 0, keys = 0, hosts = 0;
 };
 
-Named read(Headers const& heads) {
-  Named n;
-  auto first = [](std::string const*& p, std::string const& v) {
-    if (p == nullptr) p = &v;
+KnownHeaders read_known(Headers const& headers) {
+  KnownHeaders known;
+  auto const keep_first = [](std::string const*& slot, std::string const& value) {
+    if (slot == nullptr) slot = &value;
   };
-  for (auto const& [k, v] : heads) {
-    if (same_name(k, "X-Attempt-Id"))
-      first(n.id, v), ++n.ids;
-    else if (same_name(k, "X-Operation-Key"))
-      first(n.key, v), ++n.keys;
-    else if (same_name(k, "Host"))
-      first(n.host, v), ++n.hosts;
-    else if (same_name(k, "X-Time-Left"))
-      first(n.time_left, v);
-    else if (same_name(k, "Authorization"))
-      first(n.authorization, v);
+  for (auto const& [name, value] : headers) {
+    if (same_header_name(name, "X-Attempt-Id"))
+      keep_first(known.attempt_id, value), ++known.attempt_ids;
+    else if (same_header_name(name, "X-Operation-Key"))
+      keep_first(known.key, value), ++known.keys;
+    else if (same_header_name(name, "Host"))
+      keep_first(known.host, value), ++known.hosts;
+    else if (same_header_name(name, "X-Time-Left"))
+      keep_first(known.time_left, value);
+    else if (same_header_name(name, "Authorization"))
+      keep_first(known.authorization, value);
   }
-  return n;
+  return known;
 }
 
-bool well_framed(IncomingRequest const& a) {
-  u64 len = 0;
-  switch (framing_of(a.heads, len)) {
-    case BodyFraming::none: return a.body == 0;
-    case BodyFraming::length: return len == a.body;
-    case BodyFraming::chunked: return a.chunks;
+bool has_sound_frame(IncomingRequest const& incoming) {
+  u64 length = 0;
+  switch (body_framing(incoming.headers, length)) {
+    case BodyFraming::none: return incoming.body_bytes == 0;
+    case BodyFraming::length: return length == incoming.body_bytes;
+    case BodyFraming::chunked: return incoming.may_be_chunked;
     case BodyFraming::ambiguous: break;
   }
   return false;
 }
 
-// The key that a client names itself by: `Authorization: Token KEY`.
-std::string_view key_of(std::string_view v) {
-  auto const sp = v.find(' ');
-  if (sp == std::string_view::npos || !same_name(v.substr(0, sp), "Token")) return {};
-  v.remove_prefix(sp);
-  while (!v.empty() && v.front() == ' ')
-    v.remove_prefix(1);
-  while (!v.empty() && v.back() == ' ')
-    v.remove_suffix(1);
-  return v;
+/// The tenant's key in `Authorization: Token KEY`; empty: there is none.
+std::string_view tenant_key_of(std::string_view authorization) {
+  auto const space = authorization.find(' ');
+  if (space == std::string_view::npos || !same_header_name(authorization.substr(0, space), "Token")) return {};
+  authorization.remove_prefix(space);
+  while (!authorization.empty() && authorization.front() == ' ')
+    authorization.remove_prefix(1);
+  while (!authorization.empty() && authorization.back() == ' ')
+    authorization.remove_suffix(1);
+  return authorization;
 }
 
-std::string host_of(std::string_view h) {
-  std::string s(h.substr(0, h.find(':')));
-  std::transform(s.begin(), s.end(), s.begin(), [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-  return s;
+/// The host without its port, in lower case.
+std::string host_name_of(std::string_view host) {
+  std::string name(host.substr(0, host.find(':')));
+  std::transform(name.begin(), name.end(), name.begin(),
+                 [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
+  return name;
 }
 
-std::string const* pick(Route const& route, double draw) {
+/// Picks among the route's services by their weights.
+std::string const* pick_service(Route const& route, double draw) {
   double sum = 0;
-  for (auto const& [s, g] : route.to)
-    sum += g;
-  double x = draw * sum;
-  for (auto const& [s, g] : route.to) {
-    if (g > 0 && x < g) return &s;
-    x -= g;
+  for (auto const& [service, weight] : route.to)
+    sum += weight;
+  double rest = draw * sum;
+  for (auto const& [service, weight] : route.to) {
+    if (weight > 0 && rest < weight) return &service;
+    rest -= weight;
   }
   return &route.to.back().first;
 }
 
-// If both the lane and the partner have homes, both bind. None: they have none in common.
-std::optional<std::vector<std::string>> homes_of(Route const& route, Tenant const* t) {
-  if (t == nullptr || t->homes.empty()) return route.homes;
-  if (route.homes.empty()) return t->homes;
-  std::vector<std::string> both;
-  for (std::string const& h : route.homes)
-    if (std::find(t->homes.begin(), t->homes.end(), h) != t->homes.end()) both.push_back(h);
-  if (both.empty()) return std::nullopt;
-  return both;
+/// If both the route and the tenant have homes, both bind. None: they have none in common.
+std::optional<std::vector<std::string>> common_homes(Route const& route, Tenant const* tenant) {
+  if (tenant == nullptr || tenant->homes.empty()) return route.homes;
+  if (route.homes.empty()) return tenant->homes;
+  std::vector<std::string> common;
+  for (std::string const& home : route.homes)
+    if (std::find(tenant->homes.begin(), tenant->homes.end(), home) != tenant->homes.end()) common.push_back(home);
+  if (common.empty()) return std::nullopt;
+  return common;
+}
+
+struct Refusal {
+  LocalReply reply;
+  char const* reason = nullptr;
+};
+
+/// What the request's bytes alone decide.
+std::optional<Refusal> check_form(IncomingRequest const& incoming, KnownHeaders const& known,
+                                  LimitsConfig const& limits) {
+  // Two names for one request: the proxy would go by the one and the server by the other.
+  if (!has_sound_frame(incoming) || known.hosts != 1 || known.attempt_ids > 1 || known.keys > 1 ||
+      !are_well_formed(incoming.headers))
+    return Refusal{make_local_reply(400, -1, true)};
+  if (size_of(incoming.headers) + incoming.target.size() > limits.header_bytes)
+    return Refusal{make_local_reply(431, -1, true)};
+  if (incoming.body_bytes > limits.body_bytes) return Refusal{make_local_reply(413, -1, true)};
+  if (incoming.target.empty() || incoming.target[0] != '/' || !is_well_formed_target(incoming.target))
+    return Refusal{make_local_reply(400, -1, true)};
+  return std::nullopt;
+}
+
+/// Sets the request's tenant; refuses a client without one where the route needs one.
+std::optional<Refusal> find_tenant(AdmittedRequest& request, KnownHeaders const& known,
+                                   CompiledConfiguration const& configuration) {
+  request.has_tenants = configuration.has_tenants();
+  if (!request.has_tenants) return std::nullopt;
+  if (known.authorization != nullptr)
+    if (std::string_view const key = tenant_key_of(*known.authorization); !key.empty())
+      request.tenant = configuration.tenant_of(key);
+  if (!request.tenant && !request.route->keyless) return Refusal{make_local_reply(401)};
+  return std::nullopt;
+}
+
+Seconds time_left_of(Route const& route, KnownHeaders const& known) {
+  if (known.time_left != nullptr)
+    if (double const milliseconds = std::strtod(known.time_left->c_str(), nullptr); milliseconds > 0)
+      return std::min(route.deadline, milliseconds / 1000.0);
+  return route.deadline;
+}
+
+/// Fills the request; the route is set.
+std::optional<Refusal> fill(AdmittedRequest& request, IncomingRequest const& incoming, KnownHeaders const& known,
+                            CompiledConfiguration const& configuration, bool is_draining, double draw) {
+  Route const& route = *request.route;
+  bool const is_keyed = route.kind == RouteKind::keyed;
+  request.is_upload = route.kind == RouteKind::inflow || incoming.body_bytes > kUploadBytes;
+  if (is_draining && (is_keyed || request.is_upload))
+    return Refusal{make_local_reply(503, kRetryAfterDraining, true), "draining"};
+  if (std::optional<Refusal> refusal = find_tenant(request, known, configuration)) return refusal;
+  request.rank = request.tenant && request.tenant->rank ? *request.tenant->rank : route.rank;
+  request.time_left = time_left_of(route, known);
+  request.service = pick_service(route, draw);
+  ServiceConfig const* const service = configuration.pool(*request.service);
+  request.is_repeatable = route.kind == RouteKind::idempotent || (is_keyed && service != nullptr && service->dedupes);
+  if (is_keyed) {
+    if (known.key == nullptr || known.key->empty()) return Refusal{make_local_reply(400)};
+    // Two tenants may use the same key.
+    request.key = request.tenant ? request.tenant->name + "/" + *known.key : *known.key;
+  }
+  std::optional<std::vector<std::string>> homes = common_homes(route, request.tenant.get());
+  if (!homes) return Refusal{make_local_reply(503, kRetryAfterNoHome), "homes have nothing in common"};
+  request.homes = std::move(*homes);
+  return std::nullopt;
 }
 
 }  // namespace
 
-std::size_t size_of(Headers const& h) {
-  std::size_t n = 0;
-  for (auto const& [k, v] : h)
-    n += k.size() + v.size() + 4;
-  return n;
+std::size_t size_of(Headers const& headers) {
+  std::size_t constexpr separators = 4;  // ": " and the line's end
+  std::size_t bytes = 0;
+  for (auto const& [name, value] : headers)
+    bytes += name.size() + value.size() + separators;
+  return bytes;
 }
 
-AdmissionResult admit(IncomingRequest const& a, CompiledConfiguration const* man, LimitsConfig const& limits,
-                      bool drains, double draw) {
-  Named const n = read(a.heads);
-  AdmissionResult out;
-  if (n.id != nullptr) out.id = *n.id;
-  auto no = [&out](LocalReply v, char const* why = nullptr) {
-    out.no = v;
-    out.why = why;
-    return std::move(out);
+AdmissionResult admit(IncomingRequest const& incoming, CompiledConfiguration const* configuration,
+                      LimitsConfig const& limits, bool is_draining, double draw) {
+  KnownHeaders const known = read_known(incoming.headers);
+  AdmissionResult result;
+  if (known.attempt_id != nullptr) result.attempt_id = *known.attempt_id;
+  auto const refuse = [&result](Refusal const& refusal) {
+    result.refusal = refusal.reply;
+    result.reason = refusal.reason;
+    return std::move(result);
   };
-  // Two names for one request: we would go by the one and the server by the other.
-  if (!well_framed(a) || n.hosts != 1 || n.ids > 1 || n.keys > 1 || !well_formed(a.heads))
-    return no(verdict_of(400, -1, true));
-  if (size_of(a.heads) + a.target.size() > limits.header_bytes) return no(verdict_of(431, -1, true));
-  if (a.body > limits.body_bytes) return no(verdict_of(413, -1, true));
-  if (a.target.empty() || a.target[0] != '/' || !well_formed_target(a.target)) return no(verdict_of(400, -1, true));
-  if (man == nullptr) return no(verdict_of(503, 0.3));
-  AdmittedRequest r;
-  r.route = man->find(host_of(*n.host), a.target.substr(0, a.target.find('?')));
-  if (!r.route) return no(verdict_of(404));
-  if (out.id.empty()) return no(verdict_of(400));
-  Route const& route = *r.route;
-  r.upload = route.kind == RouteKind::inflow || a.body > kUploadBytes;
-  // On its way out for maintenance: what may not be cut is not begun.
-  if (drains && (route.kind == RouteKind::keyed || r.upload)) return no(verdict_of(503, 0.05, true), "draining");
-  r.gated = man->has_tenants();
-  if (r.gated) {
-    if (n.authorization != nullptr)
-      if (std::string_view const k = key_of(*n.authorization); !k.empty()) r.tenant = man->tenant_of(k);
-    if (!r.tenant && !route.keyless) return no(verdict_of(401));
-  }
-  r.rank = r.tenant && r.tenant->rank ? *r.tenant->rank : route.rank;
-  r.left = route.deadline;
-  if (n.time_left != nullptr)
-    if (double const ms = std::strtod(n.time_left->c_str(), nullptr); ms > 0) r.left = std::min(r.left, ms / 1000.0);
-  r.service = pick(route, draw);
-  ServiceConfig const* const d = man->pool(*r.service);
-  r.repeatable = route.kind == RouteKind::idempotent || (route.kind == RouteKind::keyed && d != nullptr && d->dedupes);
-  if (route.kind == RouteKind::keyed) {
-    if (n.key == nullptr || n.key->empty()) return no(verdict_of(400));
-    r.key = r.tenant ? r.tenant->name + "/" + *n.key : *n.key;
-  }
-  std::optional<std::vector<std::string>> homes = homes_of(route, r.tenant.get());
-  // Nobody may ever run it.
-  if (!homes) return no(verdict_of(503, 1.0), "homes have nothing in common");
-  r.homes = std::move(*homes);
-  out.ok = std::move(r);
-  return out;
+  if (std::optional<Refusal> const refusal = check_form(incoming, known, limits)) return refuse(*refusal);
+  if (configuration == nullptr) return refuse({make_local_reply(503, kRetryAfterWithoutConfiguration)});
+  AdmittedRequest request;
+  request.route = configuration->find(host_name_of(*known.host), incoming.target.substr(0, incoming.target.find('?')));
+  if (!request.route) return refuse({make_local_reply(404)});
+  if (result.attempt_id.empty()) return refuse({make_local_reply(400)});
+  if (std::optional<Refusal> const refusal = fill(request, incoming, known, *configuration, is_draining, draw))
+    return refuse(*refusal);
+  result.request = std::move(request);
+  return result;
 }
 
 }  // namespace dockbend
--- a/packages/request/include/request/admission.hpp
+++ b/packages/request/include/request/admission.hpp
@@ -1,5 +1,5 @@
-// What a client's request is, as far as its head and the configuration say: refused with an
-// answer of our own, or a request with its route, partner, homes and service. No I/O.
+/// Admission: decides from a client request's head and the configuration whether the proxy refuses it with an answer of
+/// its own, or takes it on with its route, tenant, homes and service. No I/O.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,40 +11,43 @@
 
 namespace dockbend {
 
+/// A client's request as it arrived. Refers to the caller's data.
 struct IncomingRequest {
-  Headers const& heads;
+  Headers const& headers;
   std::string_view target;
-  std::size_t body = 0;
-  bool chunks = false;  // its method may come with a body in chunks
+  std::size_t body_bytes = 0;
+  bool may_be_chunked = false;  ///< its method may come with a body in chunks
 };
 
+/// What is known of a request that was taken on.
 struct AdmittedRequest {
   RoutePtr route;
-  TenantPtr tenant;                      // null: the lane is keyless, or there are no customers
-  bool gated = false;                    // there are customers: the client's key stays here
-  std::string key;                       // of the operation; two partners may use the same words
-  std::string const* service = nullptr;  // of the lane
-  std::vector<std::string> homes;
-  bool repeatable = false, upload = false;
-  u32 rank = 0;
-  Seconds left = 0;
+  TenantPtr tenant;                      ///< null: the route needs none, or there are none
+  bool has_tenants = false;              ///< the configuration has tenants: the client's credentials are not forwarded
+  std::string key;                       ///< idempotency key, with the tenant's name before it; empty: not keyed
+  std::string const* service = nullptr;  ///< owned by the route
+  std::vector<std::string> homes;        ///< regions that may serve it; empty: any
+  bool is_repeatable = false;            ///< may run more than once
+  bool is_upload = false;                ///< costly to send far, and not begun while draining
+  u32 rank = 0;                          ///< priority; lower ranks are shed last
+  Seconds time_left = 0;                 ///< until its deadline
 };
 
-// Bodies over this are uploads: dear to carry far, and not begun on the way out.
+/// Bodies over this are uploads.
 constexpr std::size_t kUploadBytes = 16384;
 
 struct AdmissionResult {
-  std::string id;  // of the attempt, as far as it is known
-  LocalReply no;   // if not ok
-  char const* why = nullptr;
-  std::optional<AdmittedRequest> ok;
+  std::string attempt_id;        ///< as far as it is known
+  LocalReply refusal;            ///< if there is no request
+  char const* reason = nullptr;  ///< of the refusal, for the log; null: it is not counted
+  std::optional<AdmittedRequest> request;
 };
-// drains: on its way out for maintenance; draw: 0 to 1, picks among a lane's services. The
-// configuration is null until there is one.
-AdmissionResult admit(IncomingRequest const& a, CompiledConfiguration const* man, LimitsConfig const& limits,
-                      bool drains, double draw);
+/// configuration: null until there is one. is_draining: for maintenance, so what may not be interrupted is not begun.
+/// draw: 0 to 1, picks among a route's services.
+AdmissionResult admit(IncomingRequest const& incoming, CompiledConfiguration const* configuration,
+                      LimitsConfig const& limits, bool is_draining, double draw);
 
-// The bytes of the head's fields.
-std::size_t size_of(Headers const& h);
+/// The bytes of the headers on the wire.
+std::size_t size_of(Headers const& headers);
 
 }  // namespace dockbend
--- a/packages/request/include/request/headers.hpp
+++ b/packages/request/include/request/headers.hpp
@@ -1,4 +1,4 @@
-// Header rules of an errand and of a server's return, as values. No I/O.
+/// Rules about the headers of requests and responses, and what a server's response proves. Values only, no I/O.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,68 +11,70 @@
 
 namespace dockbend {
 
+/// (name, value), in the order of arrival.
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-bool same_letters(std::string_view a, std::string_view b);  // of equal length
-inline bool same_name(std::string_view a, std::string_view b) {
-  return a.size() == b.size() && same_letters(a, b);
+/// Are they equal but for upper and lower case? Both of equal length.
+bool equal_ignoring_case(std::string_view a, std::string_view b);
+inline bool same_header_name(std::string_view a, std::string_view b) {
+  return a.size() == b.size() && equal_ignoring_case(a, b);
 }
-std::string const* find_head(Headers const& h, std::string_view name);
-// Headers that concern one channel only and do not go along.
-bool hop_only(std::string_view name);
+/// The value of the first header of that name; null: there is none.
+std::string const* find_header(Headers const& headers, std::string_view name);
+/// Does the header concern one connection only? Such headers are not forwarded.
+bool is_hop_by_hop(std::string_view name);
 
-// How a message says where its body ends.
+/// How a message says where its body ends.
 enum class BodyFraming { none, length, chunked, ambiguous };
-// Ambiguous: two lengths, a length and a coding, a coding other than chunked, or
-// a length that is no plain number.
-BodyFraming framing_of(Headers const& h, u64& length);
+/// Ambiguous: two lengths, a length and a coding, a coding other than chunked, or a length that is no plain number.
+/// length: set if the framing is by length.
+BodyFraming body_framing(Headers const& headers, u64& length);
 
-// May a request with these go on? Not if a next reader could see another request in the same
-// bytes: a name that is no token, a target with a space or control character, two ids of one attempt.
-bool well_formed(Headers const& h);
-bool well_formed_target(std::string_view uri);
+/// May a request with these headers be forwarded? Not if a next reader could see another request in the same bytes: a
+/// name that is no token, a carriage return in a value, two ids of one attempt.
+bool are_well_formed(Headers const& headers);
+/// The same of its target: no space and no control character.
+bool is_well_formed_target(std::string_view target);
 
-// How one try at a server ended.
+/// How one attempt at a server ended.
 enum class AttemptResult {
-  whole,        // an answer to this errand, whole
-  not_run,      // the server says it has not run
-  misdirected,  // another server has the address; not run
-  unsent,       // no byte of it left: not run
-  broken,       // sent, then a reset, a close or garbage: may have run
-  silent,       // sent, no answer in time: may have run
+  complete,     ///< a complete response to this request
+  not_run,      ///< the server says that it has not run
+  misdirected,  ///< another server has the address; it has not run
+  unsent,       ///< no byte of it has left: it has not run
+  broken,       ///< sent, then a reset, a close or garbage: may have run
+  silent,       ///< sent, no response in time: may have run
 };
-bool surely_not_run(AttemptResult e);
+/// Is it certain that the request has not run?
+bool proves_not_run(AttemptResult result);
 
+/// A server's response as far as it is checked.
 struct UpstreamResponse {
-  int code = 0;
-  Headers heads;
-  std::size_t body = 0;
-  bool head = false;  // to a HEAD: it names a length and has no body
+  int status = 0;
+  Headers headers;
+  std::size_t body_bytes = 0;
+  bool answers_head_request = false;  ///< it names a length and has no body
 };
 struct ResponseCheck {
-  AttemptResult end = AttemptResult::broken;
-  std::optional<ResponseRejection> why;  // what kept it out
+  AttemptResult result = AttemptResult::broken;
+  std::optional<ResponseRejection> rejection;  ///< why it was not taken for the response to this request
 };
-// What a whole answer on the wire means for the request with this id. Only an answer that
-// bears the id proves anything, be it that the request ran or that it did not.
-ResponseCheck examine(UpstreamResponse const& r, std::string_view attempt_id);
-inline AttemptResult judge(UpstreamResponse const& r, std::string_view attempt_id) {
-  return examine(r, attempt_id).end;
-}
+/// What a complete response on the wire means for the request with this attempt id. Only a response that bears the id
+/// proves anything, be it that the request ran or that it did not.
+ResponseCheck check_response(UpstreamResponse const& response, std::string_view attempt_id);
 
-// What the proxy says of its own. One place writes it.
+/// An answer that the proxy makes itself.
 struct LocalReply {
-  int code = 503;
+  int status = 503;
   char const* reason = "Service Unavailable";
-  Seconds retry_after = -1;  // < 0: none
-  bool close = false;
+  Seconds retry_after = -1;  ///< < 0: none is named
+  bool closes_connection = false;
 };
-// May a server's code go to the client as it is? 429, 503, 408 and 421 promise
-// that nothing ran; without X-Not-Run the server promised no such thing.
-bool promise_code(int code);
-char const* reason_of(int code);
-inline LocalReply verdict_of(int code, Seconds retry_after = -1, bool close = false) {
-  return LocalReply{code, reason_of(code), retry_after, close};
-}
+LocalReply make_local_reply(int status, Seconds retry_after = -1, bool closes_connection = false);
+
+/// Does the status promise that nothing ran (429, 503, 408 and 421)? A server that sends one without X-Not-Run has made
+/// no such promise, so its response can't be forwarded as it is.
+bool promises_not_run(int status);
+char const* reason_phrase(int status);
 
 }  // namespace dockbend
--- a/packages/request/include/request/request_machine.hpp
+++ b/packages/request/include/request/request_machine.hpp
@@ -1,6 +1,27 @@
-// The course of one request through the proxy: budget, claim on its key, choice of a
-// server, attempts, answer. Events go in, a Step comes out that says what the sockets and
-// timers round it are to do next. No I/O.
+/// The state machine of one request: quota, idempotency key, choice of a server, attempts, answer. Events go in; each
+/// returns the RequestAction that the proxy's RequestDriver carries out. No I/O.
+///
+///              on_quota_refused                 on_key_refused, on_agent_lost, on_stored_answer
+///     quota ----------------------> over <--------------------------------------------- key
+///       |                                                                                ^ |
+///       |  on_quota_granted, keyed                                                       | |
+///       +--------------------------------------------------------------------------------+ |
+///       |  on_quota_granted, not keyed                                     on_key_granted  |
+///       v                                                                                  |
+///     server_choice <----------------------------------------------------------------------+
+///       |   |  on_no_server: over
+///       |   |
+///       |   +-- attempt_started --> attempt -- on_attempt_ended, complete: over
+///       |                             |  |
+///       +<-- on_attempt_ended, may ---+  +-- on_attempt_ended, may not be attempted again: over
+///       |    be attempted again       |
+///       +<-- replace_attempt ---------+
+///
+///     on_deadline: from every state to over.
+///
+/// Who calls: QuotaGate on_quota_*, IdempotencyClient on_key_*, on_stored_answer and on_agent_lost, AttemptRunner
+/// on_no_server, on_attempt_ended, replace_attempt and on_deadline, UpstreamSender attempt_started, ResponseReceiver
+/// check_response and on_attempt_ended.
 #pragma once
 #include <string>
 #include <utility>
@@ -9,162 +30,174 @@
 
 namespace dockbend {
 
-// What becomes of the claim on a key. not_run gives it back, and needs a proof.
+/// What becomes of the key that the request holds. not_run releases it, and needs a proof.
 enum class ClaimDisposition : u8 { none, not_run, lost, returned };
 
+/// What the sockets and timers are to do next.
 struct RequestAction {
-  enum class Do : u8 {
-    wait,    // for the next event
-    claim,   // ask the agent for the key
-    choose,  // a server, and send
-    pass,    // the server's answer goes to the client
-    repeat,  // the first answer of the key goes to the client
-    say,     // the verdict goes to the client
+  enum class Step : u8 {
+    wait,                ///< for the next event
+    acquire_key,         ///< ask the agent for the key
+    choose_server,       ///< and send
+    forward_response,    ///< the server's response goes to the client
+    send_stored_answer,  ///< the stored answer of the key goes to the client
+    send_local_reply,    ///< `reply` goes to the client
   };
-  Do what = Do::wait;
-  LocalReply verdict;
-  char const* why = nullptr;  // for the log
+  Step step = Step::wait;
+  LocalReply reply;
+  char const* reason = nullptr;  ///< for the log
   ClaimDisposition claim = ClaimDisposition::none;
-  bool refund = false;  // the partner's token goes back
+  bool refunds_quota = false;  ///< the tenant's token goes back
 };
 
-// What each promise rests on. Tests put a fault in place of one of these.
+/// What each promise to the client rests on. Tests put a fault in place of one of these.
 struct RequestRules {
-  static ResponseCheck examine(UpstreamResponse const& r, std::string_view id) { return dockbend::examine(r, id); }
-  static bool proves_not_run(AttemptResult e) { return surely_not_run(e); }
-  static bool may_refuse(RetryState const& c) { return !c.maybe_run(); }
-  static bool may_give_back(RetryState const& c) { return !c.maybe_run(); }
-  static bool may_go_on(RetryState const& c, Seconds now) { return c.may_try_again(now); }
+  static ResponseCheck check_response(UpstreamResponse const& response, std::string_view attempt_id) {
+    return dockbend::check_response(response, attempt_id);
+  }
+  static bool proves_not_run(AttemptResult result) { return dockbend::proves_not_run(result); }
+  static bool may_refuse(RetryState const& state) { return !state.may_have_run(); }
+  static bool may_release_key(RetryState const& state) { return !state.may_have_run(); }
+  static bool may_retry(RetryState const& state, Seconds now) { return state.may_retry(now); }
 };
 
-// Invariants: pass, repeat or say comes once, and after it every event comes to nothing;
-// a refusal (429, 503) is said, and a claim or token given back, only if nothing may have
-// run; an event that does not fit the phase changes nothing.
-template <class P = RequestRules>
+/// Invariants: one of the three steps that answer the client comes once, and after it every event comes to nothing; a
+/// refusal (429, 503) is sent, and a key released or a token refunded, only if nothing may have run; an event that does
+/// not fit the state changes nothing.
+template <class Rules = RequestRules>
 class BasicRequestMachine {
  public:
-  enum class Phase : u8 { budget, claim, choice, attempt, over };
+  enum class Phase : u8 { quota, key, server_choice, attempt, over };
 
   BasicRequestMachine() = default;
-  BasicRequestMachine(std::string id, bool keyed, RetryState c) : id_(std::move(id)), keyed_(keyed), course_(c) {}
+  /// is_keyed: the request needs its idempotency key before it may be sent.
+  BasicRequestMachine(std::string attempt_id, bool is_keyed, RetryState state)
+      : attempt_id_(std::move(attempt_id)), is_keyed_(is_keyed), retry_state_(state) {}
 
-  std::string const& id() const { return id_; }
-  RetryState const& course() const { return course_; }
+  std::string const& attempt_id() const { return attempt_id_; }
+  RetryState const& retry_state() const { return retry_state_; }
   Phase phase() const { return phase_; }
-  bool granted() const { return granted_; }
+  bool holds_key() const { return holds_key_; }
 
-  // ---- the partner's budget ----
-  RequestAction admitted() {
-    if (phase_ != Phase::budget) return {};
-    phase_ = keyed_ ? Phase::claim : Phase::choice;
-    return go(keyed_ ? RequestAction::Do::claim : RequestAction::Do::choose);
+  // ---- the tenant's quota ----
+  RequestAction on_quota_granted() {
+    if (phase_ != Phase::quota) return {};
+    phase_ = is_keyed_ ? Phase::key : Phase::server_choice;
+    return action(is_keyed_ ? RequestAction::Step::acquire_key : RequestAction::Step::choose_server);
   }
-  RequestAction overdrawn(Seconds wait) {
-    return phase_ == Phase::budget ? say(verdict_of(429, wait)) : RequestAction{};
+  RequestAction on_quota_refused(Seconds retry_after) {
+    return phase_ == Phase::quota ? reply(make_local_reply(429, retry_after)) : RequestAction{};
   }
 
-  // ---- the claim on its key ----
-  RequestAction claim_granted() {
-    if (phase_ != Phase::claim) return {};
-    granted_ = true;
-    phase_ = Phase::choice;
-    return go(RequestAction::Do::choose);
-  }
-  RequestAction claim_repeated() {
-    if (phase_ != Phase::claim) return {};
-    RequestAction s = go(RequestAction::Do::repeat);
+  // ---- its idempotency key ----
+  RequestAction on_key_granted() {
+    if (phase_ != Phase::key) return {};
+    holds_key_ = true;
+    phase_ = Phase::server_choice;
+    return action(RequestAction::Step::choose_server);
+  }
+  RequestAction on_stored_answer() {
+    if (phase_ != Phase::key) return {};
+    RequestAction result = action(RequestAction::Step::send_stored_answer);
     phase_ = Phase::over;
-    s.refund = true;  // what was answered before costs nothing
-    return s;
+    result.refunds_quota = true;  // what was answered before costs nothing
+    return result;
   }
-  // at work: 409; lost: 502; unavailable: 503.
-  RequestAction claim_refused(LocalReply v, char const* why = nullptr) {
-    return phase_ == Phase::claim ? say(v, why) : RequestAction{};
+  /// Another holder is at work: 409; its answer is lost: 502; nobody can grant it now: 503.
+  RequestAction on_key_refused(LocalReply refusal, char const* reason = nullptr) {
+    return phase_ == Phase::key ? reply(refusal, reason) : RequestAction{};
   }
-  // No word may come any more: whatever was granted meanwhile is given back.
-  RequestAction claim_unknown(Seconds wait) {
-    if (phase_ != Phase::claim) return {};
-    RequestAction s = say(verdict_of(503, wait));
-    s.claim = ClaimDisposition::not_run;
-    return s;
+  /// No answer may come any more: whatever was granted meanwhile is released.
+  RequestAction on_agent_lost(Seconds retry_after) {
+    if (phase_ != Phase::key) return {};
+    RequestAction result = reply(make_local_reply(503, retry_after));
+    result.claim = ClaimDisposition::not_run;
+    return result;
   }
 
   // ---- attempts ----
-  // Nobody takes it.
-  RequestAction none(Seconds now, Seconds wait, char const* why) {
-    return phase_ == Phase::choice ? give_up(now, wait, why) : RequestAction{};
+  /// No server can take it.
+  RequestAction on_no_server(Seconds now, Seconds retry_after, char const* reason) {
+    return phase_ == Phase::server_choice ? give_up(now, retry_after, reason) : RequestAction{};
   }
-  void began(Seconds now, Seconds patience, Seconds connect) {
+  void attempt_started(Seconds now, Seconds patience, Seconds connect_limit) {
     phase_ = Phase::attempt;
-    course_.began(now, patience, connect);
+    retry_state_.attempt_started(now, patience, connect_limit);
+  }
+  ResponseCheck check_response(UpstreamResponse const& response) const {
+    return Rules::check_response(response, attempt_id_);
   }
-  ResponseCheck judge(UpstreamResponse const& r) const { return P::examine(r, id_); }
-  // spend: asks the budget of further attempts; called at most once, if one is due.
-  template <class F>
-  RequestAction ended(AttemptResult e, Seconds now, Seconds wait, F spend) {
+  /// spend_budget: takes a token of the retry budget, true if there was one; called at most once, if one is due.
+  template <class SpendBudget>
+  RequestAction on_attempt_ended(AttemptResult attempt, Seconds now, Seconds retry_after, SpendBudget spend_budget) {
     if (phase_ != Phase::attempt) return {};
-    course_.ended(e, P::proves_not_run(e));
-    if (e == AttemptResult::whole) {
-      RequestAction s = go(RequestAction::Do::pass);
+    retry_state_.attempt_ended(attempt, Rules::proves_not_run(attempt));
+    if (attempt == AttemptResult::complete) {
+      RequestAction result = action(RequestAction::Step::forward_response);
       phase_ = Phase::over;
-      if (granted_) s.claim = ClaimDisposition::returned;
-      return s;
+      if (holds_key_) result.claim = ClaimDisposition::returned;
+      return result;
     }
-    phase_ = Phase::choice;
-    if (!P::may_go_on(course_, now)) return give_up(now, wait, "tries used up");
-    if (course_.costs_budget()) {
-      if (!spend()) return give_up(now, wait, "tries used up");
-      course_.paid();
+    phase_ = Phase::server_choice;
+    if (!Rules::may_retry(retry_state_, now)) return give_up(now, retry_after, kAttemptsUsedUp);
+    if (retry_state_.costs_budget()) {
+      if (!spend_budget()) return give_up(now, retry_after, kAttemptsUsedUp);
+      retry_state_.budget_paid();
     }
-    return go(RequestAction::Do::choose);
-  }
-  // Replaces the attempt that is at work by a retry, if the retry is certain. Asked in this
-  // order, each only if all before it said yes: the course itself; reserve: is a server chosen
-  // for it; spend: the budget. True: the caller breaks the attempt off and sends to the server
-  // that reserve chose, without choosing again. False: nothing has changed, and the attempt
-  // is waited for. terminating: a SIGTERM has arrived, after which none is broken off.
-  template <class R, class F>
-  bool replace_attempt(Seconds now, bool terminating, R reserve, F spend) {
-    if (phase_ != Phase::attempt || terminating || !course_.may_replace(now)) return false;
-    if (!reserve() || !spend()) return false;
-    course_.ended(AttemptResult::silent, P::proves_not_run(AttemptResult::silent));
-    course_.paid();
-    phase_ = Phase::choice;
+    return action(RequestAction::Step::choose_server);
+  }
+  /// Replaces the attempt at work by a retry, if the retry is certain. Asked in this order, each only if all before it
+  /// agreed: the state itself; reserve_server: is a server chosen for it; spend_budget. True: the caller breaks the
+  /// attempt off and sends to the server that reserve_server chose, without choosing again. False: nothing has changed,
+  /// and the attempt is waited for. terminating: a SIGTERM has arrived, after which none is broken off.
+  template <class ReserveServer, class SpendBudget>
+  bool replace_attempt(Seconds now, bool terminating, ReserveServer reserve_server, SpendBudget spend_budget) {
+    if (phase_ != Phase::attempt || terminating || !retry_state_.may_replace(now)) return false;
+    if (!reserve_server() || !spend_budget()) return false;
+    retry_state_.attempt_ended(AttemptResult::silent, Rules::proves_not_run(AttemptResult::silent));
+    retry_state_.budget_paid();
+    phase_ = Phase::server_choice;
     return true;
   }
-  // Its time is over.
-  RequestAction expired(bool sent) {
-    if (phase_ == Phase::claim) return claim_unknown(0.2);
+  /// is_sent: a byte of the attempt at work has left.
+  RequestAction on_deadline(bool is_sent) {
+    if (phase_ == Phase::key) return on_agent_lost(kRetryAfterKeyTimeout);
     if (phase_ == Phase::over) return {};
-    if (phase_ == Phase::attempt && sent)
-      course_.ended(AttemptResult::silent, P::proves_not_run(AttemptResult::silent));
-    return say(P::may_refuse(course_) ? verdict_of(503, 0.1) : verdict_of(504));
+    if (phase_ == Phase::attempt && is_sent)
+      retry_state_.attempt_ended(AttemptResult::silent, Rules::proves_not_run(AttemptResult::silent));
+    return reply(Rules::may_refuse(retry_state_) ? make_local_reply(503, kRetryAfterDeadline) : make_local_reply(504));
   }
 
  private:
-  static RequestAction go(RequestAction::Do d) {
-    RequestAction s;
-    s.what = d;
-    return s;
+  static char constexpr kAttemptsUsedUp[] = "attempts used up";
+  static Seconds constexpr kRetryAfterKeyTimeout = 0.2, kRetryAfterDeadline = 0.1;
+  /// With less time left than this a request that is given up has timed out.
+  static Seconds constexpr kTimedOutWithin = 0.01;
+
+  static RequestAction action(RequestAction::Step step) {
+    RequestAction result;
+    result.step = step;
+    return result;
   }
-  RequestAction give_up(Seconds now, Seconds wait, char const* why) {
-    if (P::may_refuse(course_)) return say(verdict_of(503, wait), why);
-    return say(verdict_of(course_.deadline() - now < 0.01 ? 504 : 502), why);
+  RequestAction give_up(Seconds now, Seconds retry_after, char const* reason) {
+    if (Rules::may_refuse(retry_state_)) return reply(make_local_reply(503, retry_after), reason);
+    return reply(make_local_reply(retry_state_.deadline() - now < kTimedOutWithin ? 504 : 502), reason);
   }
-  RequestAction say(LocalReply v, char const* why = nullptr) {
+  RequestAction reply(LocalReply local_reply, char const* reason = nullptr) {
     phase_ = Phase::over;
-    RequestAction s = go(RequestAction::Do::say);
-    s.verdict = v;
-    s.why = why;
-    s.refund = !course_.maybe_run();
-    if (granted_) s.claim = P::may_give_back(course_) ? ClaimDisposition::not_run : ClaimDisposition::lost;
-    return s;
+    RequestAction result = action(RequestAction::Step::send_local_reply);
+    result.reply = local_reply;
+    result.reason = reason;
+    result.refunds_quota = !retry_state_.may_have_run();
+    if (holds_key_)
+      result.claim = Rules::may_release_key(retry_state_) ? ClaimDisposition::not_run : ClaimDisposition::lost;
+    return result;
   }
 
-  std::string id_;
-  bool keyed_ = false, granted_ = false;
-  Phase phase_ = Phase::budget;
-  RetryState course_;
+  std::string attempt_id_;
+  bool is_keyed_ = false, holds_key_ = false;
+  Phase phase_ = Phase::quota;
+  RetryState retry_state_;
 };
 using RequestMachine = BasicRequestMachine<>;
 
--- a/packages/request/include/request/request_table.hpp
+++ b/packages/request/include/request/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests in hand, and whose answer it is that came: a server's by the slot's
-// generation and the channel it came on, the agent's by its tag. No I/O.
+/// The requests in flight, and which of them an arriving answer belongs to: a server's by the slot's generation and the
+/// connection that it came on, the agent's by its tag. No I/O.
 #pragma once
 #include <unordered_map>
 #include <utility>
@@ -9,81 +9,88 @@
 
 namespace dockbend {
 
-// T has handle (its own), key_request_tag (of its ask for a claim, 0: none open) and connection (of its
-// attempt, null: none). Invariants: a tag is used once and answered once; no tag is left of
-// a request that was closed; what is nobody's any more is counted and dropped.
-template <class T, class Turns = Generations>
+/// T has `handle` (its own), `key_request_tag` (of its open request for its key; 0: none is open) and `connection` (of
+/// its attempt; null: none). Invariants: a tag is used once and answered once; no tag is left of a request that was
+/// closed; an answer that belongs to no request is counted and discarded.
+template <class T, class GenerationRule = Generations>
 class RequestTable {
  public:
-  using Handle = typename Slab<T, Turns>::Handle;
+  using Handle = typename Slab<T, GenerationRule>::Handle;
 
-  T& open(std::unique_ptr<T> x) {
-    T& t = *x;
-    t.handle = slab_.add(std::move(x));
-    return t;
+  T& open(std::unique_ptr<T> request) {
+    T& opened = *request;
+    opened.handle = slab_.insert(std::move(request));
+    return opened;
   }
-  void close(T& t) {
-    if (t.key_request_tag != 0) asks_.erase(t.key_request_tag);
-    slab_.drop(t.handle);
+  /// Destroys the request.
+  void close(T& request) {
+    if (request.key_request_tag != 0) key_requests_.erase(request.key_request_tag);
+    slab_.erase(request.handle);
   }
-  T* find(Handle h) { return slab_.get(h); }
-  // Whose attempt this channel, taken for owner, carries; null: nobody's any more.
+  /// Null if it was closed.
+  T* find(Handle handle) { return slab_.find(handle); }
+
+  /// The request whose attempt this connection, taken for owner, carries; null: none any more.
   template <class C>
-  T* on(Handle owner, C const* chan) {
-    T* const t = slab_.get(owner);
-    if (t != nullptr && t->connection == chan) return t;
-    fence_.drop(ResponseRejection::late_answer);
+  T* find_attempt(Handle owner, C const* connection) {
+    T* const request = slab_.find(owner);
+    if (request != nullptr && request->connection == connection) return request;
+    filter_.count_discard(ResponseRejection::late_answer);
     return nullptr;
   }
-  u32 ask(T& t) {
-    t.key_request_tag = ++next_;
-    asks_[t.key_request_tag] = t.handle;
-    return t.key_request_tag;
+
+  /// Opens a request to the agent for the request's key, and returns its tag.
+  u32 open_key_request(T& request) {
+    request.key_request_tag = ++last_tag_;
+    key_requests_[request.key_request_tag] = request.handle;
+    return request.key_request_tag;
   }
-  T* asked(u32 tag) {
-    return asked(tag, [](T const&) { return true; });
+  /// The request that the agent's answer with this tag belongs to; its key request is closed. Null: none any more.
+  T* close_key_request(u32 tag) {
+    return close_key_request(tag, [](T const&) { return true; });
   }
-  // mine: is what came the answer to this one's ask? If not, the ask stays open.
-  template <class P>
-  T* asked(u32 tag, P mine) {
-    auto const it = asks_.find(tag);
-    T* const t = it == asks_.end() ? nullptr : slab_.get(it->second);
-    if (t != nullptr && !mine(*t)) {
-      fence_.drop(ResponseRejection::late_claim);
+  /// belongs: does the answer belong to this request? If not, its key request stays open.
+  template <class Belongs>
+  T* close_key_request(u32 tag, Belongs belongs) {
+    auto const it = key_requests_.find(tag);
+    T* const request = it == key_requests_.end() ? nullptr : slab_.find(it->second);
+    if (request != nullptr && !belongs(*request)) {
+      filter_.count_discard(ResponseRejection::late_claim);
       return nullptr;
     }
-    if (it != asks_.end()) asks_.erase(it);
-    if (t == nullptr || t->key_request_tag != tag) {
-      fence_.drop(ResponseRejection::late_claim);
+    if (it != key_requests_.end()) key_requests_.erase(it);
+    if (request == nullptr || request->key_request_tag != tag) {
+      filter_.count_discard(ResponseRejection::late_claim);
       return nullptr;
     }
-    t->key_request_tag = 0;
-    return t;
+    request->key_request_tag = 0;
+    return request;
   }
-  // No open ask will be answered any more.
-  template <class F>
-  void agent_gone(F f) {
-    std::unordered_map<u32, Handle> l;
-    l.swap(asks_);
-    for (auto const& [tag, h] : l)
-      if (T* const t = slab_.get(h); t != nullptr && t->key_request_tag == tag) {
-        t->key_request_tag = 0;
-        f(*t);
+  /// No open key request will be answered any more: closes each and calls visit(request), which may close the request.
+  template <class Visit>
+  void close_all_key_requests(Visit visit) {
+    std::unordered_map<u32, Handle> closed;
+    closed.swap(key_requests_);
+    for (auto const& [tag, handle] : closed)
+      if (T* const request = slab_.find(handle); request != nullptr && request->key_request_tag == tag) {
+        request->key_request_tag = 0;
+        visit(*request);
       }
   }
+
   std::size_t size() const { return slab_.size(); }
-  std::size_t asks() const { return asks_.size(); }
-  template <class F>
-  void each(F f) const {
-    slab_.each(f);
+  std::size_t open_key_requests() const { return key_requests_.size(); }
+  template <class Visit>
+  void for_each(Visit visit) const {
+    slab_.for_each(visit);
   }
-  ResponseFilter& fence() { return fence_; }
+  ResponseFilter& filter() { return filter_; }
 
  private:
-  Slab<T, Turns> slab_;
-  std::unordered_map<u32, Handle> asks_;
-  ResponseFilter fence_;
-  u32 next_ = 0;
+  Slab<T, GenerationRule> slab_;
+  std::unordered_map<u32, Handle> key_requests_;  // open ones, by tag
+  ResponseFilter filter_;
+  u32 last_tag_ = 0;
 };
 
 }  // namespace dockbend
--- a/packages/request/include/request/response_filter.hpp
+++ b/packages/request/include/request/response_filter.hpp
@@ -1,4 +1,4 @@
-// What was dropped because it did not belong to the question that waited, by cause. No I/O.
+/// Counts what was discarded because it did not belong to the request that waited, by cause. No I/O.
 #pragma once
 #include <array>
 #include <string>
@@ -8,30 +8,32 @@
 namespace dockbend {
 
 enum class ResponseRejection : u8 {
-  other_id,      // an answer that bears another request's id
-  no_id,         // one that bears none: it may be anybody's
-  two_ids,       // one that bears two
-  bare_promise,  // 429, 503 or 408 without X-Not-Run
-  broken_frame,  // a length that is missing, doubled or not kept
-  no_seal,       // a success without its seal
-  surplus,       // bytes behind a whole answer
-  late_answer,   // for a request that is over, or for an attempt that was given up
-  late_claim,    // the agent's word for a request that is over
-  other_key,     // a first answer of another key
-  count,
+  other_id,      ///< a response with another request's attempt id
+  no_id,         ///< one without an attempt id: it may be anybody's
+  two_ids,       ///< one with two attempt ids
+  bare_promise,  ///< 429, 503, 408 or 421 without X-Not-Run
+  broken_frame,  ///< a body length that is missing, doubled or not kept
+  no_seal,       ///< a success without its seal
+  surplus,       ///< bytes behind a complete response
+  late_answer,   ///< for a request that is over, or for an attempt that was given up
+  late_claim,    ///< the agent's response for a request that is over
+  other_key,     ///< a stored answer of another key
+  count,         ///< the number of causes
 };
-char const* drop_name(ResponseRejection d);
+/// The cause's name in log lines and surveys.
+char const* rejection_name(ResponseRejection cause);
 
-// Invariant: totals only grow.
+/// Invariant: the totals only grow.
 class ResponseFilter {
  public:
-  void drop(ResponseRejection d) { ++n_[static_cast<std::size_t>(d)]; }
-  u64 dropped(ResponseRejection d) const { return n_[static_cast<std::size_t>(d)]; }
-  // What came since it was last asked, as `cause n, cause n`; empty: nothing.
-  std::string since();
+  void count_discard(ResponseRejection cause) { ++totals_[static_cast<std::size_t>(cause)]; }
+  /// Since the process started.
+  u64 discarded(ResponseRejection cause) const { return totals_[static_cast<std::size_t>(cause)]; }
+  /// What was discarded since the last call, as `cause n, cause n`; empty: nothing.
+  std::string summary_since_last();
 
  private:
-  std::array<u64, static_cast<std::size_t>(ResponseRejection::count)> n_{}, said_{};
+  std::array<u64, static_cast<std::size_t>(ResponseRejection::count)> totals_{}, summarized_{};
 };
 
 }  // namespace dockbend
--- a/packages/request/include/request/slab.hpp
+++ b/packages/request/include/request/slab.hpp
@@ -1,5 +1,5 @@
-// Continuations in a slab: a handle names a slot and its generation (turn), and a handle
-// of an earlier one finds nothing.
+/// A table of objects whose handles name a slot and the slot's generation: a handle of an earlier object in the same
+/// slot finds nothing. No I/O.
 #pragma once
 #include <memory>
 #include <vector>
@@ -8,59 +8,68 @@
 
 namespace dockbend {
 
+/// The rule by which a handle fits a slot. Tests put a fault in its place.
 struct Generations {
   static bool same(u32 a, u32 b) { return a == b; }
 };
 
-template <class T, class Turns = Generations>
+/// Owns its objects. Insertion, lookup and removal take constant time.
+template <class T, class GenerationRule = Generations>
 class Slab {
  public:
+  /// Fits in a pointer, so that libevent's callbacks can carry one.
   struct Handle {
-    u32 ix = 0, turn = 0;
-    void* ptr() const {
-      return reinterpret_cast<void*>(static_cast<std::uintptr_t>(static_cast<u64>(turn) << 32 | ix));
+    u32 index = 0, generation = 0;
+    void* to_pointer() const {
+      return reinterpret_cast<void*>(static_cast<std::uintptr_t>(static_cast<u64>(generation) << 32 | index));
     }
-    static Handle of(void* p) {
-      u64 const v = reinterpret_cast<std::uintptr_t>(p);
-      return {static_cast<u32>(v), static_cast<u32>(v >> 32)};
+    static Handle from_pointer(void* pointer) {
+      u64 const bits = reinterpret_cast<std::uintptr_t>(pointer);
+      return {static_cast<u32>(bits), static_cast<u32>(bits >> 32)};
     }
   };
-  Handle add(std::unique_ptr<T> x) {
-    u32 i = 0;
+  Handle insert(std::unique_ptr<T> object) {
+    u32 index = 0;
     if (!free_.empty()) {
-      i = free_.back();
+      index = free_.back();
       free_.pop_back();
     } else {
-      i = static_cast<u32>(v_.size());
-      v_.push_back(Place{});
+      index = static_cast<u32>(slots_.size());
+      slots_.push_back(Slot{});
     }
-    v_[i].x = std::move(x);
-    ++n_;
-    return {i, v_[i].turn};
+    slots_[index].object = std::move(object);
+    ++size_;
+    return {index, slots_[index].generation};
   }
-  T* get(Handle h) { return h.ix < v_.size() && Turns::same(v_[h.ix].turn, h.turn) ? v_[h.ix].x.get() : nullptr; }
-  void drop(Handle h) {
-    if (get(h) == nullptr) return;
-    v_[h.ix].x.reset();
-    ++v_[h.ix].turn;
-    free_.push_back(h.ix);
-    --n_;
+  /// Null if the handle's object was erased.
+  T* find(Handle handle) {
+    bool const fits =
+        handle.index < slots_.size() && GenerationRule::same(slots_[handle.index].generation, handle.generation);
+    return fits ? slots_[handle.index].object.get() : nullptr;
   }
-  std::size_t size() const { return n_; }
-  template <class F>
-  void each(F f) const {
-    for (Place const& p : v_)
-      if (p.x) f(*p.x);
+  void erase(Handle handle) {
+    if (find(handle) == nullptr) return;
+    slots_[handle.index].object.reset();
+    ++slots_[handle.index].generation;
+    free_.push_back(handle.index);
+    --size_;
+  }
+  std::size_t size() const { return size_; }
+  /// Calls visit(object) for each, in the order of the slots.
+  template <class Visit>
+  void for_each(Visit visit) const {
+    for (Slot const& slot : slots_)
+      if (slot.object) visit(*slot.object);
   }
 
  private:
-  struct Place {
-    std::unique_ptr<T> x;
-    u32 turn = 1;
+  struct Slot {
+    std::unique_ptr<T> object;
+    u32 generation = 1;
   };
-  std::vector<Place> v_;
-  std::vector<u32> free_;
-  std::size_t n_ = 0;
+  std::vector<Slot> slots_;
+  std::vector<u32> free_;  // indices of slots without an object
+  std::size_t size_ = 0;
 };
 
 }  // namespace dockbend
--- a/packages/request/response_filter.cpp
+++ b/packages/request/response_filter.cpp
@@ -2,8 +2,8 @@
 
 namespace dockbend {
 
-char const* drop_name(ResponseRejection d) {
-  switch (d) {
+char const* rejection_name(ResponseRejection cause) {
+  switch (cause) {
     case ResponseRejection::other_id: return "other id";
     case ResponseRejection::no_id: return "no id";
     case ResponseRejection::two_ids: return "two ids";
@@ -19,15 +19,15 @@
   return "?";
 }
 
-std::string ResponseFilter::since() {
-  std::string s;
-  for (std::size_t i = 0; i < n_.size(); ++i) {
-    if (n_[i] == said_[i]) continue;
-    s += (s.empty() ? "" : ", ") + std::string(drop_name(static_cast<ResponseRejection>(i))) + " " +
-         std::to_string(n_[i] - said_[i]);
-    said_[i] = n_[i];
+std::string ResponseFilter::summary_since_last() {
+  std::string summary;
+  for (std::size_t i = 0; i < totals_.size(); ++i) {
+    if (totals_[i] == summarized_[i]) continue;
+    summary += (summary.empty() ? "" : ", ") + std::string(rejection_name(static_cast<ResponseRejection>(i))) + " " +
+               std::to_string(totals_[i] - summarized_[i]);
+    summarized_[i] = totals_[i];
   }
-  return s;
+  return summary;
 }
 
 }  // namespace dockbend
--- a/packages/upstream/connection_pool.cpp
+++ b/packages/upstream/connection_pool.cpp
@@ -1,5 +1,6 @@
 #include "upstream/connection_pool.hpp"
 
+#include <event2/buffer.h>
 #include <event2/bufferevent.h>
 
 #include <algorithm>
@@ -8,138 +9,157 @@
 
 namespace dockbend {
 namespace {
-// libevent's own limits on silence, in seconds. A request is ended by its deadline alone, so
-// its limit is longer than any deadline that a manifest may name.
-int const idle_timeout = 60, request_timeout = 2000000000;
 
-void close_cb(evhttp_connection*, void* p) {
-  UpstreamConnection* const c = static_cast<UpstreamConnection*>(p);
-  if (!c->busy) c->shelf->doom(*c);
+// libevent's own limits on silence. A request is ended by its deadline alone, so its limit is longer than any deadline
+// that a configuration may name.
+int constexpr kIdleTimeoutSeconds = 60, kRequestTimeoutSeconds = 2000000000;
+/// Else a head without an end would be kept until the deadline.
+ev_ssize_t constexpr kMostHeadBytes = 256 << 10;
+/// Nobody listens there; stands for an address that can't be read.
+u32 constexpr kDiscardPort = 9;
+
+void on_close(evhttp_connection*, void* argument) {
+  auto* const connection = static_cast<UpstreamConnection*>(argument);
+  if (!connection->is_busy) connection->pool->retire(*connection);
+}
+
+// Bytes leave the buffer by being written, or by being thrown away after the socket was taken from it: the second sends
+// nothing.
+void on_output(evbuffer*, evbuffer_cb_info const* info, void* argument) {
+  auto* const connection = static_cast<UpstreamConnection*>(argument);
+  if (info->n_deleted == 0) return;
+  if (bufferevent_getfd(evhttp_connection_get_bufferevent(connection->http.get())) >= 0) connection->has_sent = true;
 }
-// Bytes leave the buffer by being written, or by being thrown away after the socket was
-// taken from it: the second is no send.
-void out_cb(evbuffer*, evbuffer_cb_info const* i, void* p) {
-  UpstreamConnection* const c = static_cast<UpstreamConnection*>(p);
-  if (i->n_deleted > 0 && bufferevent_getfd(evhttp_connection_get_bufferevent(c->ec)) >= 0) c->sent = true;
+
+void on_done(evhttp_request* request, void* argument) {
+  auto* const connection = static_cast<UpstreamConnection*>(argument);
+  if (!connection->is_retired && connection->is_busy)
+    connection->pool->on_return.emit(*connection, request);
+  else if (request != nullptr && evhttp_request_get_response_code(request) != 0)
+    ++connection->pool->late_responses;
 }
-void done_cb(evhttp_request* r, void* p) {
-  UpstreamConnection* const c = static_cast<UpstreamConnection*>(p);
-  if (!c->dead && c->busy)
-    c->shelf->on_return.emit(*c, r);
-  else if (r != nullptr && evhttp_request_get_response_code(r) != 0)
-    ++c->shelf->late;
+
+Address address_of(Endpoint const& endpoint) {
+  try {
+    return parse_addr(endpoint.address, "address");
+  } catch (SettingsError const&) {
+    return Address{"127.0.0.1", kDiscardPort};
+  }
 }
+
 }  // namespace
 
-UpstreamConnection& ConnectionPool::take(ServerIndex s, Seconds safe, Seconds now, void* owner) {
-  UpstreamConnection* c = nullptr;
-  auto& l = idle_[s.v];
-  // The one used last is the least likely to have been closed meanwhile.
-  while (!l.empty() && c == nullptr) {
-    c = l.back();
-    if (c->uses != as_.at(s).uses || now - c->idle_since > std::min(c->idle_limit, safe)) {
-      doom(*c);
-      c = nullptr;
-    } else {
-      off_shelf(*c);
-      c->idle_was = now - c->idle_since;
+bool ConnectionPool::is_current(UpstreamConnection const& connection) const {
+  return load_balancer_.endpoint(connection.server).uses == connection.endpoint_uses;
+}
+
+UpstreamConnection& ConnectionPool::acquire(ServerIndex server, Seconds max_idle_time, Seconds now, void* owner) {
+  UpstreamConnection* const idle = take_idle(server, max_idle_time, now);
+  UpstreamConnection& connection = idle != nullptr ? *idle : open(server);
+  connection.is_busy = true;
+  connection.has_sent = false;
+  connection.owner = owner;
+  return connection;
+}
+
+// The connection used last is the least likely to have been closed meanwhile.
+UpstreamConnection* ConnectionPool::take_idle(ServerIndex server, Seconds max_idle_time, Seconds now) {
+  std::vector<UpstreamConnection*>& idle = idle_[server.v];
+  while (!idle.empty()) {
+    UpstreamConnection& connection = *idle.back();
+    Seconds const idle_time = now - connection.idle_since;
+    if (is_current(connection) && idle_time <= std::min(connection.idle_limit, max_idle_time)) {
+      remove_idle(connection);
+      connection.idle_before = idle_time;
+      return &connection;
     }
+    retire(connection);
   }
-  if (c == nullptr) c = &open(s);
-  c->busy = true;
-  c->sent = false;
-  c->owner = owner;
-  return *c;
+  return nullptr;
 }
 
-evhttp_request* ConnectionPool::request(UpstreamConnection& c) {
-  return evhttp_request_new(done_cb, &c);
+evhttp_request* ConnectionPool::new_request(UpstreamConnection& connection) {
+  return evhttp_request_new(on_done, &connection);
 }
 
-bool ConnectionPool::send(UpstreamConnection& c, evhttp_request* r, evhttp_cmd_type cmd, char const* uri,
-                          int user_timeout_ms) {
-  evhttp_connection_set_timeout(c.ec, request_timeout);
-  if (evhttp_make_request(c.ec, r, cmd, uri) != 0) return false;
-  tune_socket(bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec)), user_timeout_ms);
+bool ConnectionPool::send(UpstreamConnection& connection, evhttp_request* request, evhttp_cmd_type method,
+                          char const* target, int acknowledgement_timeout_ms) {
+  evhttp_connection* const http = connection.http.get();
+  evhttp_connection_set_timeout(http, kRequestTimeoutSeconds);
+  if (evhttp_make_request(http, request, method, target) != 0) return false;
+  tune_socket(bufferevent_getfd(evhttp_connection_get_bufferevent(http)), acknowledgement_timeout_ms);
   return true;
 }
 
-UpstreamConnection& ConnectionPool::open(ServerIndex s) {
-  Endpoint& t = as_.at(s);
-  auto* const c = new UpstreamConnection;
-  c->shelf = this;
-  c->server = s;
-  c->uses = t.uses;
-  Address a;
-  try {
-    a = parse_addr(t.address, "address");
-  } catch (SettingsError const&) {
-    a = Address{"127.0.0.1", 9};
-  }
-  bufferevent* bev = bufferevent_socket_new(loop_, -1, BEV_OPT_DEFER_CALLBACKS);
-  c->ec = evhttp_connection_base_bufferevent_new(loop_, nullptr, bev, a.ip.c_str(), static_cast<ev_uint16_t>(a.port));
-  evhttp_connection_set_timeout(c->ec, idle_timeout);
-  evhttp_connection_set_max_headers_size(c->ec, 256 << 10);  // else a head without an end is kept until the deadline
-  evhttp_connection_set_closecb(c->ec, close_cb, c);
-  evbuffer_add_cb(bufferevent_get_output(bev), out_cb, c);
-  ++t.chans;
-  return *c;
+UpstreamConnection& ConnectionPool::open(ServerIndex server) {
+  Endpoint& endpoint = load_balancer_.endpoint(server);
+  auto owner = std::make_unique<UpstreamConnection>();
+  UpstreamConnection& connection = *owner;
+  connections_.emplace(&connection, std::move(owner));
+  connection.pool = this;
+  connection.server = server;
+  connection.endpoint_uses = endpoint.uses;
+  Address const address = address_of(endpoint);
+  bufferevent* const socket = bufferevent_socket_new(loop_, -1, BEV_OPT_DEFER_CALLBACKS);
+  connection.http.reset(evhttp_connection_base_bufferevent_new(loop_, nullptr, socket, address.ip.c_str(),
+                                                               static_cast<ev_uint16_t>(address.port)));
+  evhttp_connection* const http = connection.http.get();
+  evhttp_connection_set_timeout(http, kIdleTimeoutSeconds);
+  evhttp_connection_set_max_headers_size(http, kMostHeadBytes);
+  evhttp_connection_set_closecb(http, on_close, &connection);
+  evbuffer_add_cb(bufferevent_get_output(socket), on_output, &connection);
+  ++endpoint.connections;
+  return connection;
 }
 
-void ConnectionPool::off_shelf(UpstreamConnection& c) {
-  auto const it = idle_.find(c.server.v);
-  if (it == idle_.end()) return;
-  if (std::erase(it->second, &c) == 0) return;
-  Endpoint& t = as_.at(c.server);
-  if (t.uses == c.uses && t.idle > 0) --t.idle;
+void ConnectionPool::remove_idle(UpstreamConnection& connection) {
+  auto const it = idle_.find(connection.server.v);
+  if (it == idle_.end() || std::erase(it->second, &connection) == 0) return;
+  Endpoint& endpoint = load_balancer_.endpoint(connection.server);
+  if (is_current(connection) && endpoint.idle_connections > 0) --endpoint.idle_connections;
 }
 
-// A dead channel is freed once libevent is out of its callbacks. From this moment on
-// nothing more is written to it, not even if its connect came up in this very turn of the
-// loop: whoever lets go of an attempt that has sent nothing goes by that.
-void ConnectionPool::doom(UpstreamConnection& c) {
-  if (c.dead) return;
-  c.dead = true;
-  off_shelf(c);
-  Endpoint& t = as_.at(c.server);
-  if (t.uses == c.uses && t.chans > 0) --t.chans;
-  evhttp_connection_set_closecb(c.ec, nullptr, nullptr);
-  bufferevent* const bev = evhttp_connection_get_bufferevent(c.ec);
-  bufferevent_setcb(bev, nullptr, nullptr, nullptr, nullptr);
-  bufferevent_disable(bev, EV_READ | EV_WRITE);
-  after(loop_, 0, [p = &c] {
-    evhttp_connection_free(p->ec);
-    delete p;
-  });
+void ConnectionPool::retire(UpstreamConnection& connection) {
+  if (connection.is_retired) return;
+  connection.is_retired = true;
+  remove_idle(connection);
+  Endpoint& endpoint = load_balancer_.endpoint(connection.server);
+  if (is_current(connection) && endpoint.connections > 0) --endpoint.connections;
+  evhttp_connection* const http = connection.http.get();
+  evhttp_connection_set_closecb(http, nullptr, nullptr);
+  bufferevent* const socket = evhttp_connection_get_bufferevent(http);
+  bufferevent_setcb(socket, nullptr, nullptr, nullptr, nullptr);
+  bufferevent_disable(socket, EV_READ | EV_WRITE);
+  after(loop_, 0, [this, retired = &connection] { connections_.erase(retired); });
 }
 
-void ConnectionPool::keep(UpstreamConnection& c, Seconds limit, Seconds now) {
-  c.busy = false;
-  c.owner = nullptr;
-  c.idle_since = now;
-  c.idle_limit = limit;
-  evhttp_connection_set_timeout(c.ec, idle_timeout);
-  idle_[c.server.v].push_back(&c);
-  Endpoint& t = as_.at(c.server);
-  if (t.uses == c.uses) ++t.idle;
+void ConnectionPool::release_idle(UpstreamConnection& connection, Seconds idle_limit, Seconds now) {
+  connection.is_busy = false;
+  connection.owner = nullptr;
+  connection.idle_since = now;
+  connection.idle_limit = idle_limit;
+  evhttp_connection_set_timeout(connection.http.get(), kIdleTimeoutSeconds);
+  idle_[connection.server.v].push_back(&connection);
+  if (is_current(connection)) ++load_balancer_.endpoint(connection.server).idle_connections;
 }
 
-void ConnectionPool::sweep(Seconds now) {
-  std::vector<UpstreamConnection*> old;
-  for (auto& [s, l] : idle_)
-    for (UpstreamConnection* c : l)
-      if (now - c->idle_since > c->idle_limit || c->uses != as_.at(ServerIndex(s)).uses) old.push_back(c);
-  for (UpstreamConnection* c : old)
-    doom(*c);
+void ConnectionPool::retire_expired(Seconds now) {
+  std::vector<UpstreamConnection*> expired;
+  for (auto const& [server, connections] : idle_)
+    for (UpstreamConnection* const connection : connections)
+      if (now - connection->idle_since > connection->idle_limit || !is_current(*connection))
+        expired.push_back(connection);
+  for (UpstreamConnection* const connection : expired)
+    retire(*connection);
 }
 
-void ConnectionPool::trim(std::vector<ServerIndex> const& gone) {
-  for (ServerIndex const s : gone) {
-    auto const it = idle_.find(s.v);
+void ConnectionPool::retire_idle_of(std::vector<ServerIndex> const& servers) {
+  for (ServerIndex const server : servers) {
+    auto const it = idle_.find(server.v);
     if (it == idle_.end()) continue;
-    auto const l = it->second;
-    for (UpstreamConnection* c : l)
-      doom(*c);
+    std::vector<UpstreamConnection*> const connections = it->second;  // retire() changes the list
+    for (UpstreamConnection* const connection : connections)
+      retire(*connection);
   }
 }
 
--- a/packages/upstream/include/upstream/body_read_tracker.hpp
+++ b/packages/upstream/include/upstream/body_read_tracker.hpp
@@ -1,5 +1,5 @@
-// Requests whose bytes have begun to come and that are not whole yet. evhttp tells of a
-// request only once it has all of it, so the bytes are counted underneath.
+/// Counts the requests whose bytes have begun to arrive and that are not complete yet. evhttp reports a request only
+/// once it is complete, so the bytes are counted underneath.
 #pragma once
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -12,48 +12,28 @@
 
 namespace dockbend {
 
-// Invariant: bytes counts what came on a connection since its last whole request. A
-// connection that ended is not told of; it counts until it was silent for `idle` ticks.
+/// Invariant: a connection's bytes are those that arrived since its last complete request. libevent does not report the
+/// end of a connection; it counts until it was silent for some ticks.
 class BodyReadTracker {
  public:
-  void watch(evhttp* h) { evhttp_set_bevcb(h, made, this); }
-  void tick() { ++tick_; }
-  // The request that was being read is whole.
-  void whole(evhttp_request* r) {
-    evhttp_connection* const c = evhttp_request_get_connection(r);
-    if (c == nullptr) return;
-    if (auto const it = all_.find(evhttp_connection_get_bufferevent(c)); it != all_.end()) it->second->bytes = 0;
-  }
-  u32 open(u64 idle) const {
-    u32 n = 0;
-    for (auto const& [b, w] : all_)
-      n += w->bytes > 0 && tick_ - w->at <= idle ? 1 : 0;
-    return n;
-  }
+  /// Tracks all connections of the server, which the tracker must outlive.
+  void watch(evhttp* server) { evhttp_set_bevcb(server, create_socket, this); }
+  void tick() { ++ticks_; }
+  /// The request that was being read is complete.
+  void request_completed(evhttp_request* request);
+  /// Connections with an incomplete request that were not silent for more than idle_ticks.
+  u32 open_reads(u64 idle_ticks) const;
 
  private:
-  struct Watch {
-    BodyReadTracker* of = nullptr;
+  struct TrackedConnection {
+    BodyReadTracker* tracker = nullptr;
     std::size_t bytes = 0;
-    u64 at = 0;
+    u64 last_read_tick = 0;
   };
-  static bufferevent* made(event_base* loop, void* p) {
-    BodyReadTracker* const self = static_cast<BodyReadTracker*>(p);
-    bufferevent* const b = bufferevent_socket_new(loop, -1, 0);
-    std::unique_ptr<Watch>& w = self->all_[b];  // an old one at this place is of a connection that ended
-    w = std::make_unique<Watch>();
-    w->of = self;
-    evbuffer_add_cb(bufferevent_get_input(b), came, w.get());
-    return b;
-  }
-  static void came(evbuffer*, evbuffer_cb_info const* i, void* p) {
-    Watch& w = *static_cast<Watch*>(p);
-    if (i->n_added == 0) return;
-    w.bytes += i->n_added;
-    w.at = w.of->tick_;
-  }
-  u64 tick_ = 0;
-  std::unordered_map<bufferevent*, std::unique_ptr<Watch>> all_;
+  static bufferevent* create_socket(event_base* loop, void* tracker);
+  static void on_input(evbuffer*, evbuffer_cb_info const* info, void* connection);
+  u64 ticks_ = 0;
+  std::unordered_map<bufferevent*, std::unique_ptr<TrackedConnection>> connections_;
 };
 
 }  // namespace dockbend
--- a/packages/upstream/include/upstream/connection_pool.hpp
+++ b/packages/upstream/include/upstream/connection_pool.hpp
@@ -1,57 +1,60 @@
-// Channels to servers: opened, kept while idle, closed. A task that owns its sockets.
+/// Connections to servers: opened, kept while idle, closed.
 #pragma once
-#include <event2/buffer.h>
 #include <event2/event.h>
 #include <event2/http.h>
 #include <sigc++/sigc++.h>
 
+#include <memory>
 #include <unordered_map>
+#include <vector>
 
 #include "load_balancing/load_balancer.hpp"
+#include "upstream/upstream_connection.hpp"
 
 namespace dockbend {
 
-class ConnectionPool;
-
-// Invariants: one errand at a time; a channel that is dead is in no list and only
-// waits to be freed, and writes nothing; on the shelf exactly while neither busy nor dead;
-// sent: at least one byte of the request is in the socket. While it is false not one has left.
-struct UpstreamConnection {
-  ConnectionPool* shelf = nullptr;
-  evhttp_connection* ec = nullptr;
-  ServerIndex server;
-  u64 uses = 0;           // of the server's place, when it was opened
-  void* owner = nullptr;  // whose errand is on it
-  bool busy = false, dead = false, sent = false;
-  Seconds idle_since = 0, idle_limit = 4, idle_was = -1;  // idle_was: how long before this errand; < 0: fresh
-};
-
+/// Owns the connections and their sockets. Runs on the event loop's thread.
 class ConnectionPool {
  public:
-  // A try on the channel ended; null: with no whole answer. The channel is still busy.
+  /// The exchange on a busy connection ended; the request is null if there is no complete response, and freed by
+  /// libevent after the call. The connection is still busy: the receiver releases or retires it.
   sigc::signal<void(UpstreamConnection&, evhttp_request*)> on_return;
-  u64 late = 0;  // answers on channels that were let go
+  /// Responses on connections that were retired or released meanwhile; the reader may reset it.
+  u64 late_responses = 0;
 
-  ConnectionPool(event_base* loop, LoadBalancer& as) : loop_(loop), as_(as) {}
+  /// Both must outlive the pool.
+  ConnectionPool(event_base* loop, LoadBalancer& load_balancer) : loop_(loop), load_balancer_(load_balancer) {}
   ConnectionPool(ConnectionPool const&) = delete;
 
-  // An idle channel no longer idle than `safe`, or a new one.
-  UpstreamConnection& take(ServerIndex s, Seconds safe, Seconds now, void* owner);
-  // False: it could not be sent, and on_return is not called.
-  bool send(UpstreamConnection& c, evhttp_request* r, evhttp_cmd_type cmd, char const* uri, int user_timeout_ms);
-  evhttp_request* request(UpstreamConnection& c);  // to be filled and given to send()
-  void keep(UpstreamConnection& c, Seconds limit, Seconds now);
-  void doom(UpstreamConnection& c);
-  void sweep(Seconds now);
-  // Closes what is idle to servers that take nothing more.
-  void trim(std::vector<ServerIndex> const& gone);
+  /// A connection that was idle no longer than max_idle_time, or a new one. It is busy for the owner.
+  UpstreamConnection& acquire(ServerIndex server, Seconds max_idle_time, Seconds now, void* owner);
+  /// A request to be filled and given to send().
+  evhttp_request* new_request(UpstreamConnection& connection);
+  /// Takes the request over. acknowledgement_timeout_ms: until a machine that acknowledges nothing counts as absent.
+  /// False: it could not be sent, and on_return is not called.
+  bool send(UpstreamConnection& connection, evhttp_request* request, evhttp_cmd_type method, char const* target,
+            int acknowledgement_timeout_ms);
+  /// Keeps a connection whose exchange is complete for another request. idle_limit: seconds.
+  void release_idle(UpstreamConnection& connection, Seconds idle_limit, Seconds now);
+  /// Closes the connection. From this moment on nothing more is written to it, not even if its connect came up in this
+  /// very turn of the loop: whoever breaks off an attempt that has sent nothing relies on that. It is freed once
+  /// libevent is out of its callbacks.
+  void retire(UpstreamConnection& connection);
+  /// Closes what was idle for too long, or is to a server that is gone.
+  void retire_expired(Seconds now);
+  /// Closes what is idle to these servers.
+  void retire_idle_of(std::vector<ServerIndex> const& servers);
 
  private:
-  UpstreamConnection& open(ServerIndex s);
-  void off_shelf(UpstreamConnection& c);
+  UpstreamConnection& open(ServerIndex server);
+  UpstreamConnection* take_idle(ServerIndex server, Seconds max_idle_time, Seconds now);
+  void remove_idle(UpstreamConnection& connection);
+  /// Is the endpoint's slot still of the server that the connection was opened to?
+  bool is_current(UpstreamConnection const& connection) const;
   event_base* loop_;
-  LoadBalancer& as_;
-  std::unordered_map<u32, std::vector<UpstreamConnection*>> idle_;
+  LoadBalancer& load_balancer_;
+  std::unordered_map<UpstreamConnection const*, std::unique_ptr<UpstreamConnection>> connections_;  // all of them
+  std::unordered_map<u32, std::vector<UpstreamConnection*>> idle_;  // by server; the one used last at the end
 };
 
 }  // namespace dockbend
--- a/programs/hollow_nodes.cpp
+++ b/programs/hollow_nodes.cpp
@@ -389,9 +389,9 @@
   double const h1 = heap();
   auto man = std::make_unique<CompiledConfiguration>(CompiledConfiguration::from(items));
   double const h2 = heap();
-  std::vector<LoadBalancer::Seen> rows;
+  std::vector<LoadBalancer::ServerUpdate> rows;
   for (long i = 0; i < servers; ++i) {
-    LoadBalancer::Seen x;
+    LoadBalancer::ServerUpdate x;
     x.id = "i-" + std::to_string(1000000 + i);
     x.service = "p";
     x.address = "10.128.0.9:8080";
@@ -403,11 +403,11 @@
   Settings const st = parse_settings("ip=10.0.0.1\nzone=desk\ninnerPorts=7000,7010\nzones.desk=desk\n");
   double const h3 = heap();
   auto as = std::make_unique<LoadBalancer>(st);
-  as->table(rows, 0);
-  as->sites({{"desk", 20}});
+  as->replace_servers(rows, 0);
+  as->set_proxy_counts({{"desk", 20}});
   double const h4 = heap();
   EndpointQuery w;
-  w.pool = as->pool("p");
+  w.service = as->service_index("p");
   int const rounds = 2000;
   auto cpu = [] {
     rusage r{};
@@ -417,7 +417,7 @@
   double const c0 = cpu();
   std::size_t hit = 0;
   for (int i = 0; i < rounds; ++i)
-    hit += as->choose(w, 1 + i * 0.001).ix ? 1 : 0;
+    hit += as->choose(w, 1 + i * 0.001).server ? 1 : 0;
   double const c1 = cpu();
   for (int i = 0; i < rounds * 10; ++i)
     hit += man->find("h0.example", "/p1/x") ? 1 : 0;
--- a/tests/planning/evacuation_forecast_test.cpp
+++ b/tests/planning/evacuation_forecast_test.cpp
@@ -68,9 +68,9 @@
     }
     for (std::size_t k = 0; k < 5; ++k)
       disks.emplace_back(true);
-    std::vector<LoadBalancer::Seen> rows;
+    std::vector<LoadBalancer::ServerUpdate> rows;
     for (Server const& s : servers) {
-      LoadBalancer::Seen x;
+      LoadBalancer::ServerUpdate x;
       x.id = s.id;
       x.service = "p";
       x.address = "10.0.0.1:80";
@@ -87,9 +87,9 @@
       p.st.region = p.region;
       p.st.zones = zones;
       p.as = std::make_unique<LoadBalancer>(p.st);
-      p.as->rule(p.as->pool("p"), ServiceLimits{200, 0, 0});
-      p.as->table(rows, 0);
-      p.as->sites({{"n1", 2}, {"n2", 1}, {"s1", 1}});
+      p.as->set_limits(p.as->service_index("p"), ServiceLimits{200, 0, 0});
+      p.as->replace_servers(rows, 0);
+      p.as->set_proxy_counts({{"n1", 2}, {"n2", 1}, {"s1", 1}});
       next(i, 0);
     }
   }
@@ -132,11 +132,11 @@
       }
     }
     EndpointQuery w;
-    w.pool = p.as->pool("p");
-    w.bulky = e.w.upload;
+    w.service = p.as->service_index("p");
+    w.is_upload = e.w.upload;
     w.latency_target = 1;
     LoadBalancer::Choice const ch = p.as->choose(w, e.at);
-    if (!ch.ix) {
+    if (!ch.server) {
       unserved += e.at > count_from ? 1 : 0;
       if (e.w.kind == 1)
         for (KeyTable& d : disks) {  // nothing ran: the key is given back
@@ -150,10 +150,10 @@
         }
       return;
     }
-    p.as->took(*ch.ix, e.at);
-    e.w.ix = *ch.ix;
+    p.as->attempt_started(*ch.server, e.at);
+    e.w.ix = *ch.server;
     for (std::size_t i = 0; i < servers.size(); ++i)
-      if (servers[i].id == p.as->at(*ch.ix).id) e.w.server = i;
+      if (servers[i].id == p.as->endpoint(*ch.server).id) e.w.server = i;
     e.w.sent = e.at;
     Server& s = servers[e.w.server];
     p.ob.sent(routes[e.w.kind], s.zone, e.at);
@@ -177,7 +177,7 @@
     Server& s = servers[e.w.server];
     --s.busy;
     uploads_ended += e.w.upload ? 1 : 0;
-    proxies[e.w.proxy].as->gave(e.w.ix, e.at - e.w.sent, true, e.at);
+    proxies[e.w.proxy].as->attempt_succeeded(e.w.ix, e.at - e.w.sent, e.at);
     if (s.queue.empty()) return;
     Work const n = s.queue.front();
     s.queue.pop_front();
@@ -198,7 +198,7 @@
   void evacuate(std::set<std::string> const& z) {
     gone = z;
     for (Proxy& p : proxies)
-      p.as->evacuated(z, now);
+      p.as->set_evacuated_zones(z, now);
   }
   FleetSnapshot capture() const {
     FleetSnapshot c;
@@ -237,12 +237,12 @@
       v.zone = x.zone;
       v.region = x.region;
       x.ob.fill(v, now);
-      for (Endpoint const& t : x.as->targets()) {
-        if (t.lat <= 0) continue;
+      for (Endpoint const& t : x.as->endpoints()) {
+        if (t.latency <= 0) continue;
         ServerLatency s;
         s.id = t.id;
-        s.lat = t.lat;
-        s.dev = t.dev;
+        s.lat = t.latency;
+        s.dev = t.latency_deviation;
         s.told = true;
         v.speeds.push_back(s);
       }
--- a/tests/process/program_test.cpp
+++ b/tests/process/program_test.cpp
@@ -20,8 +20,8 @@
   struct sigaction before {};
   sigaction(SIGTERM, nullptr, &before);
   Turn t;
-  t.request.admitted();
-  t.request.began(0, 1, 0.25);
+  t.request.on_quota_granted();
+  t.request.attempt_started(0, 1, 0.25);
   {
     ProcessSignals w(t.loop);
     cr_assert_not(term_arrived());
@@ -39,7 +39,8 @@
           cr_assert_not(u.draining, "the loop has not handled the signal yet");
           cr_assert(term_arrived());
           bool const terminating = u.draining || term_arrived();
-          cr_assert(u.request.course().due(2, true, true, terminating) == RetryState::Due::wait);
+          cr_assert(u.request.retry_state().timer_meaning(2, true, true, terminating) ==
+                    RetryState::TimerMeaning::wait);
           u.broken_off = u.request.replace_attempt(
               2, terminating, [] { return true; }, [] { return true; });
         },
--- a/tests/request/admission_test.cpp
+++ b/tests/request/admission_test.cpp
@@ -37,19 +37,21 @@
 }
 }  // namespace
 
-Test(arrival, a_good_request_has_its_route_key_homes_and_time) {
+Test(admission, a_good_request_has_its_route_key_homes_and_time) {
   AdmissionResult const a = play();
-  cr_assert(a.ok.has_value());
-  cr_assert(a.id == "a1" && a.ok->route->name == "r2" && a.ok->key == "k" && *a.ok->service == "s1");
-  cr_assert(a.ok->homes == std::vector<std::string>{"north"});
-  cr_assert_not(a.ok->repeatable || a.ok->upload);
-  cr_assert_float_eq(a.ok->left, 0.7, 1e-9);
+  cr_assert(a.request.has_value());
+  cr_assert(a.attempt_id == "a1" && a.request->route->name == "r2" && a.request->key == "k" &&
+            *a.request->service == "s1");
+  cr_assert(a.request->homes == std::vector<std::string>{"north"});
+  cr_assert_not(a.request->is_repeatable || a.request->is_upload);
+  cr_assert_float_eq(a.request->time_left, 0.7, 1e-9);
   AdmissionResult const b = play([](Call& c) { c.target = "/p/x"; });
-  cr_assert(b.ok && b.ok->repeatable && b.ok->key.empty() && *b.ok->service == "s2", "the draw picks the second");
+  cr_assert(b.request && b.request->is_repeatable && b.request->key.empty() && *b.request->service == "s2",
+            "the draw picks the second");
 }
 
-// One thing of a good request is spoiled at a time.
-Test(arrival, each_spoiled_request_is_refused) {
+// Given a good request of which one thing at a time is spoiled, admission refuses it with the right status.
+Test(admission, each_spoiled_request_is_refused) {
   struct M {
     int code;
     std::function<void(Call&)> spoil;
@@ -74,6 +76,6 @@
   };
   for (M const& m : ms) {
     AdmissionResult const a = play(m.spoil);
-    cr_assert(!a.ok && a.no.code == m.code, "%d, not %d", a.no.code, m.code);
+    cr_assert(!a.request && a.refusal.status == m.code, "%d, not %d", a.refusal.status, m.code);
   }
 }
--- a/tests/request/headers_test.cpp
+++ b/tests/request/headers_test.cpp
@@ -11,91 +11,93 @@
 }
 }  // namespace
 
-Test(errand, whole_answer_of_this_errand_passes) {
-  cr_assert(judge(good(), "a1") == AttemptResult::whole);
+Test(headers, a_complete_response_to_this_request_passes) {
+  cr_assert(check_response(good(), "a1").result == AttemptResult::complete);
 }
 
-// One header or figure of a good answer is spoiled at a time.
-Test(errand, each_spoiled_answer_is_seen) {
+// Given a good response of which one header or figure at a time is spoiled.
+Test(headers, each_spoiled_response_is_recognized) {
   auto with = [](auto f) {
     UpstreamResponse r = good();
     f(r);
-    return judge(r, "a1");
+    return check_response(r, "a1").result;
   };
-  cr_assert(with([](UpstreamResponse& r) { r.heads[1].second = "a2"; }) == AttemptResult::broken,
-            "another errand's answer");
-  cr_assert(with([](UpstreamResponse& r) { r.heads.erase(r.heads.begin() + 1); }) == AttemptResult::broken, "no id");
-  cr_assert(with([](UpstreamResponse& r) { r.heads.pop_back(); }) == AttemptResult::broken, "no seal");
-  cr_assert(with([](UpstreamResponse& r) { r.heads.erase(r.heads.begin()); }) == AttemptResult::broken, "unframed");
-  cr_assert(with([](UpstreamResponse& r) { r.body = 3; }) == AttemptResult::broken, "ends early");
-  cr_assert(with([](UpstreamResponse& r) { r.heads.emplace_back("Content-Length", "4"); }) == AttemptResult::broken,
+  cr_assert(with([](UpstreamResponse& r) { r.headers[1].second = "a2"; }) == AttemptResult::broken,
+            "another request's response");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.erase(r.headers.begin() + 1); }) == AttemptResult::broken,
+            "no id");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.pop_back(); }) == AttemptResult::broken, "no seal");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.erase(r.headers.begin()); }) == AttemptResult::broken, "unframed");
+  cr_assert(with([](UpstreamResponse& r) { r.body_bytes = 3; }) == AttemptResult::broken, "ends early");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.emplace_back("Content-Length", "4"); }) == AttemptResult::broken,
             "two lengths");
-  cr_assert(
-      with([](UpstreamResponse& r) { r.heads.emplace_back("Transfer-Encoding", "chunked"); }) == AttemptResult::broken,
-      "length and coding");
-  cr_assert(with([](UpstreamResponse& r) { r.heads[0].second = "4x"; }) == AttemptResult::broken, "no number");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.emplace_back("Transfer-Encoding", "chunked"); }) ==
+                AttemptResult::broken,
+            "length and coding");
+  cr_assert(with([](UpstreamResponse& r) { r.headers[0].second = "4x"; }) == AttemptResult::broken, "no number");
   for (int const c : {429, 503, 408})
-    cr_assert(with([c](UpstreamResponse& r) { r.code = c; }) == AttemptResult::broken,
+    cr_assert(with([c](UpstreamResponse& r) { r.status = c; }) == AttemptResult::broken,
               "%d without X-Not-Run promises nothing", c);
-  cr_assert(with([](UpstreamResponse& r) { r.code = 503, r.heads.emplace_back("X-Not-Run", "1"); }) ==
+  cr_assert(with([](UpstreamResponse& r) { r.status = 503, r.headers.emplace_back("X-Not-Run", "1"); }) ==
             AttemptResult::not_run);
   cr_assert(with([](UpstreamResponse& r) {
-              r.code = 503, r.heads[1].second = "a2", r.heads.emplace_back("X-Not-Run", "1");
+              r.status = 503, r.headers[1].second = "a2", r.headers.emplace_back("X-Not-Run", "1");
             }) == AttemptResult::broken,
-            "a refusal of another errand proves nothing of this one");
-  cr_assert(with([](UpstreamResponse& r) { r.heads.emplace_back("X-Attempt-Id", "a2"); }) == AttemptResult::broken,
+            "a refusal of another request proves nothing of this one");
+  cr_assert(with([](UpstreamResponse& r) { r.headers.emplace_back("X-Attempt-Id", "a2"); }) == AttemptResult::broken,
             "two ids");
   for (int const c : {503, 421, 400})
     cr_assert(with([c](UpstreamResponse& r) {
-                r.code = c, r.heads.erase(r.heads.begin() + 1), r.heads.emplace_back("X-Not-Run", "1");
+                r.status = c, r.headers.erase(r.headers.begin() + 1), r.headers.emplace_back("X-Not-Run", "1");
               }) == AttemptResult::broken,
               "a refusal without an id, %d, may be of an earlier request", c);
-  cr_assert(with([](UpstreamResponse& r) { r.heads.emplace_back("X-Not-Run", "1"); }) == AttemptResult::broken,
+  cr_assert(with([](UpstreamResponse& r) { r.headers.emplace_back("X-Not-Run", "1"); }) == AttemptResult::broken,
             "a success that says it has not run");
-  cr_assert(with([](UpstreamResponse& r) { r.head = true, r.body = 0; }) == AttemptResult::whole,
-            "an answer to a HEAD has no body");
-  cr_assert(with([](UpstreamResponse& r) { r.code = 421; }) == AttemptResult::misdirected);
-  cr_assert(with([](UpstreamResponse& r) { r.code = 500; }) == AttemptResult::whole);
-  cr_assert_not(surely_not_run(AttemptResult::broken) || surely_not_run(AttemptResult::silent) ||
-                surely_not_run(AttemptResult::whole));
+  cr_assert(
+      with([](UpstreamResponse& r) { r.answers_head_request = true, r.body_bytes = 0; }) == AttemptResult::complete,
+      "an answer to a HEAD has no body");
+  cr_assert(with([](UpstreamResponse& r) { r.status = 421; }) == AttemptResult::misdirected);
+  cr_assert(with([](UpstreamResponse& r) { r.status = 500; }) == AttemptResult::complete);
+  cr_assert_not(proves_not_run(AttemptResult::broken) || proves_not_run(AttemptResult::silent) ||
+                proves_not_run(AttemptResult::complete));
 }
 
-Test(errand, what_a_fence_drops_is_counted_by_cause) {
+Test(response_filter, discards_are_counted_by_cause) {
   UpstreamResponse r = good();
-  r.heads[1].second = "a2";
+  r.headers[1].second = "a2";
   ResponseFilter f;
-  f.drop(*examine(r, "a1").why);
-  f.drop(ResponseRejection::late_answer);
-  f.drop(ResponseRejection::late_answer);
-  std::string const said = f.since();
+  f.count_discard(*check_response(r, "a1").rejection);
+  f.count_discard(ResponseRejection::late_answer);
+  f.count_discard(ResponseRejection::late_answer);
+  std::string const said = f.summary_since_last();
   cr_assert_str_eq(said.c_str(), "other id 1, late answer 2");
-  cr_assert(f.since().empty());
-  cr_assert_eq(f.dropped(ResponseRejection::late_answer), 2u);
-  cr_assert_not(examine(good(), "a1").why.has_value());
+  cr_assert(f.summary_since_last().empty());
+  cr_assert_eq(f.discarded(ResponseRejection::late_answer), 2u);
+  cr_assert_not(check_response(good(), "a1").rejection.has_value());
 }
 
-Test(errand, ambiguous_framing_of_a_request) {
+Test(headers, ambiguous_framing_is_recognized) {
   u64 n = 0;
-  cr_assert(framing_of({{"Content-Length", "5"}}, n) == BodyFraming::length && n == 5);
-  cr_assert(framing_of({{"content-length", "5"}, {"Content-Length", "5"}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Content-Length", "5"}, {"Transfer-Encoding", "chunked"}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Transfer-Encoding", "gzip, chunked"}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Transfer-Encoding", "chunked"}, {"Transfer-Encoding", "chunked"}}, n) ==
+  cr_assert(body_framing({{"Content-Length", "5"}}, n) == BodyFraming::length && n == 5);
+  cr_assert(body_framing({{"content-length", "5"}, {"Content-Length", "5"}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({{"Content-Length", "5"}, {"Transfer-Encoding", "chunked"}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({{"Transfer-Encoding", "gzip, chunked"}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({{"Transfer-Encoding", "chunked"}, {"Transfer-Encoding", "chunked"}}, n) ==
             BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Content-Length", "+5"}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Content-Length", ""}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({{"Content-Length", "9999999999999999"}}, n) == BodyFraming::ambiguous);
-  cr_assert(framing_of({}, n) == BodyFraming::none);
+  cr_assert(body_framing({{"Content-Length", "+5"}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({{"Content-Length", ""}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({{"Content-Length", "9999999999999999"}}, n) == BodyFraming::ambiguous);
+  cr_assert(body_framing({}, n) == BodyFraming::none);
 }
 
-Test(errand, an_old_handle_finds_nothing) {
+Test(slab, a_handle_of_an_erased_object_finds_nothing) {
   Slab<int> s;
-  auto const a = s.add(std::make_unique<int>(1));
-  s.drop(a);
-  auto const b = s.add(std::make_unique<int>(2));
-  cr_assert_eq(a.ix, b.ix);
-  cr_assert(s.get(a) == nullptr);
-  cr_assert_eq(*s.get(Slab<int>::Handle::of(b.ptr())), 2);
-  s.drop(a);
+  auto const a = s.insert(std::make_unique<int>(1));
+  s.erase(a);
+  auto const b = s.insert(std::make_unique<int>(2));
+  cr_assert_eq(a.index, b.index);
+  cr_assert(s.find(a) == nullptr);
+  cr_assert_eq(*s.find(Slab<int>::Handle::from_pointer(b.to_pointer())), 2);
+  s.erase(a);
   cr_assert_eq(s.size(), 1u);
 }
