--- a/tests/request/request_machine_test.cpp
+++ b/tests/request/request_machine_test.cpp
@@ -1,5 +1,5 @@
-// The course of requests against a small world of servers, channels, an agent and clients,
-// with one message at a time spoiled. The world believes nothing: it counts runs itself.
+// Plays requests in a small world of servers, connections, an agent and clients, with one message at a time spoiled.
+// The world trusts nothing that the code under test says: it counts runs itself.
 #include <criterion/criterion.h>
 
 #include <deque>
@@ -52,7 +52,7 @@
 
 // What a faulty shell would do.
 struct Shell {
-  static constexpr bool cuts = true;  // a channel that is let go sends and hears nothing more
+  static constexpr bool cuts = true;  // a connection that is retired sends and receives nothing more
 };
 
 template <class P = RequestRules, class S = Shell>
@@ -69,7 +69,7 @@
     typename Table::Handle handle;
     u32 key_request_tag = 0;
     Conn* connection = nullptr;
-    BasicRequestMachine<P> core;
+    BasicRequestMachine<P> machine;
     std::string id, key;
     u64 holder = 0;
     std::set<int> attempted;
@@ -79,7 +79,7 @@
 
   explicit World(Case const& c, unsigned seed = 0) : c_(c), rnd_(seed) {}
 
-  // One request, a second that takes its slot and channel while late messages come, and for
+  // One request, a second that takes its slot and connection while late messages come, and for
   // a key its repeat; then everything that is still on its way.
   std::string play() {
     one("a1", c_.sort, "k1");
@@ -183,16 +183,16 @@
     return true;
   }
 
-  // ---- the proxy's shell: what circulation does with sockets and timers ----
+  // ---- what the proxy does with sockets and timers ----
   typename Table::Handle start(std::string const& id, Sort s, std::string const& key) {
     auto r = std::make_unique<Req>();
     r->id = id;
     r->key = s == Sort::keyed ? key : "";
-    r->core = BasicRequestMachine<P>(id, s == Sort::keyed, RetryState(s == Sort::idempotent, 3, now_ + 2));
+    r->machine = BasicRequestMachine<P>(id, s == Sort::keyed, RetryState(s == Sort::idempotent, 3, now_ + 2));
     if (s != Sort::idempotent) once_.insert(id);
     Req& q = table_.open(std::move(r));
     typename Table::Handle const h = q.handle;
-    carry(q, q.core.admitted());
+    carry(q, q.machine.on_quota_granted());
     return h;
   }
   void one(std::string const& id, Sort s, std::string const& key) {
@@ -216,38 +216,38 @@
   }
   void tick() {
     std::vector<typename Table::Handle> all;
-    table_.each([&](Req const& q) { all.push_back(q.handle); });
+    table_.for_each([&](Req const& q) { all.push_back(q.handle); });
     now_ += 0.05;
     for (auto const h : all)
       if (Req* const q = table_.find(h)) timer(*q);
   }
   void timer(Req& q) {
     bool const sent = q.connection != nullptr && q.connection->sent;
-    switch (q.core.course().due(now_, q.connection != nullptr, sent, draining_)) {
-      case RetryState::Due::expired: let_go(q); return carry(q, q.core.expired(sent));
-      case RetryState::Due::unsent: return ended(q, AttemptResult::unsent);
-      case RetryState::Due::late: {
+    switch (q.machine.retry_state().timer_meaning(now_, q.connection != nullptr, sent, draining_)) {
+      case RetryState::TimerMeaning::expired: retire_connection(q); return carry(q, q.machine.on_deadline(sent));
+      case RetryState::TimerMeaning::unsent: return ended(q, AttemptResult::unsent);
+      case RetryState::TimerMeaning::late: {
         int s = 3;
         auto const reserve = [&] { return (s = choose(q)) <= 2; };
-        if (!q.core.replace_attempt(now_, draining_, reserve, [] { return true; })) return;
-        let_go(q);
+        if (!q.machine.replace_attempt(now_, draining_, reserve, [] { return true; })) return;
+        retire_connection(q);
         return attempt_at(q, s);
       }
-      case RetryState::Due::wait: return;
+      case RetryState::TimerMeaning::wait: return;
     }
   }
   void carry(Req& q, RequestAction const& s) {
     if (s.claim == ClaimDisposition::not_run || s.claim == ClaimDisposition::lost) tell(q, s.claim);
-    switch (s.what) {
-      case RequestAction::Do::claim: return ask(q);
-      case RequestAction::Do::choose: return attempt(q);
-      case RequestAction::Do::say: answer(q.id, s.verdict.code, ""); return table_.close(q);
+    switch (s.step) {
+      case RequestAction::Step::acquire_key: return ask(q);
+      case RequestAction::Step::choose_server: return attempt(q);
+      case RequestAction::Step::send_local_reply: answer(q.id, s.reply.status, ""); return table_.close(q);
       default: return;
     }
   }
   void ask(Req& q) {
     q.holder = ++holders_;
-    u32 const tag = table_.ask(q);
+    u32 const tag = table_.open_key_request(q);
     post(Msg{[this, tag, key = q.key, h = q.holder](Spoil) { claimed(tag, key, h); }, nullptr, false, true, true});
   }
   static int choose(Req const& q) {
@@ -258,7 +258,7 @@
   }
   void attempt(Req& q) {
     int const s = choose(q);
-    if (s > 2) return carry(q, q.core.none(now_, 0.1, nullptr));
+    if (s > 2) return carry(q, q.machine.on_no_server(now_, 0.1, nullptr));
     attempt_at(q, s);
   }
   void attempt_at(Req& q, int s) {
@@ -274,9 +274,9 @@
     }
     c->busy = true;
     c->sent = false;
-    c->owner = q.handle.ptr();
+    c->owner = q.handle.to_pointer();
     q.connection = c;
-    q.core.began(now_, 0.5, 0.25);
+    q.machine.attempt_started(now_, 0.5, 0.25);
     if (fresh)
       post(Msg{[this, c, id = q.id, key = q.key](Spoil) {
                  if (c->dead || c->up) return;
@@ -291,39 +291,39 @@
     c.sent = true;
     post(Msg{[this, &c, id, key](Spoil sp) { serve(c, id, key, sp); }, &c, true});
   }
-  void let_go(Req& q) {
+  void retire_connection(Req& q) {
     if (q.connection == nullptr) return;
     q.connection->busy = false;
     if (S::cuts) q.connection->dead = true;
     q.connection = nullptr;
   }
   void ended(Req& q, AttemptResult e) {
-    let_go(q);
-    carry(q, q.core.ended(e, now_, 0.1, [] { return true; }));
+    retire_connection(q);
+    carry(q, q.machine.on_attempt_ended(e, now_, 0.1, [] { return true; }));
   }
   void reset(Conn& c) {
     if (c.dead) return;
     c.dead = true;
     if (!c.busy) return;
-    if (Req* const q = table_.on(Table::Handle::of(c.owner), &c))
+    if (Req* const q = table_.find_attempt(Table::Handle::from_pointer(c.owner), &c))
       ended(*q, c.sent ? AttemptResult::broken : AttemptResult::unsent);
   }
   void came(Conn& c, UpstreamResponse const& r, std::string const& run_of) {
     if (c.dead) return;
-    if (!c.busy) {  // bytes on an idle channel
+    if (!c.busy) {  // bytes on an idle connection
       c.dead = true;
       return;
     }
-    Req* const q = table_.on(Table::Handle::of(c.owner), &c);
+    Req* const q = table_.find_attempt(Table::Handle::from_pointer(c.owner), &c);
     if (q == nullptr) return;
-    AttemptResult const e = q->core.judge(r).end;
-    if (e != AttemptResult::whole) return ended(*q, e);
+    AttemptResult const e = q->machine.check_response(r).result;
+    if (e != AttemptResult::complete) return ended(*q, e);
     q->connection = nullptr;
     c.busy = false;
-    RequestAction const s = q->core.ended(e, now_, 0.1, [] { return true; });
+    RequestAction const s = q->machine.on_attempt_ended(e, now_, 0.1, [] { return true; });
     if (s.claim == ClaimDisposition::returned) tell(*q, s.claim);
-    if (r.code < 300 && r.body != 4) fail("an answer that ends early looks whole");
-    answer(q->id, r.code, run_of);
+    if (r.status < 300 && r.body_bytes != 4) fail("an answer that ends early looks whole");
+    answer(q->id, r.status, run_of);
     table_.close(*q);
   }
   void tell(Req const& q, ClaimDisposition e) {
@@ -335,7 +335,7 @@
              nullptr, false, true, true});
   }
   void agent_killed() {
-    table_.agent_gone([this](Req& q) { carry(q, q.core.claim_unknown(0.1)); });
+    table_.close_all_key_requests([this](Req& q) { carry(q, q.machine.on_agent_lost(0.1)); });
   }
 
   // ---- the others ----
@@ -344,11 +344,11 @@
     if (got) holder_[key] = h;
     std::string const first = first_[key];
     post(Msg{[this, tag, got, first](Spoil) {
-               Req* const q = table_.asked(tag);
+               Req* const q = table_.close_key_request(tag);
                if (q == nullptr) return;
-               if (got) return carry(*q, q->core.claim_granted());
-               if (first.empty()) return carry(*q, q->core.claim_refused(verdict_of(409)));
-               carry(*q, q->core.claim_repeated());
+               if (got) return carry(*q, q->machine.on_key_granted());
+               if (first.empty()) return carry(*q, q->machine.on_key_refused(make_local_reply(409)));
+               carry(*q, q->machine.on_stored_answer());
                answer(q->id, 200, first);
                table_.close(*q);
              },
@@ -358,8 +358,8 @@
     UpstreamResponse r{200, {{"Content-Length", "4"}, {"X-Attempt-Id", id}, {"X-Server-Seal", "s"}}, 4};
     bool const refuses = sp == Spoil::refused || sp == Spoil::misdirected;
     if (refuses) {
-      r.code = sp == Spoil::refused ? 503 : 421;
-      r.heads.emplace_back("X-Not-Run", "1");
+      r.status = sp == Spoil::refused ? 503 : 421;
+      r.headers.emplace_back("X-Not-Run", "1");
     } else if (sp == Spoil::cut_short) {  // half a request does not run
       return reset(c);
     } else {
@@ -369,13 +369,13 @@
     post(Msg{[this, &c, r, id, refuses](Spoil s) {
                UpstreamResponse x = r;
                switch (s) {
-                 case Spoil::cut_short: x.body = 3; break;
-                 case Spoil::other_id: x.heads[1].second = "zz"; break;
-                 case Spoil::no_id: x.heads.erase(x.heads.begin() + 1); break;
-                 case Spoil::two_ids: x.heads.emplace_back("X-Attempt-Id", "zz"); break;
-                 case Spoil::no_seal: x.heads.erase(x.heads.begin() + 2); break;
+                 case Spoil::cut_short: x.body_bytes = 3; break;
+                 case Spoil::other_id: x.headers[1].second = "zz"; break;
+                 case Spoil::no_id: x.headers.erase(x.headers.begin() + 1); break;
+                 case Spoil::two_ids: x.headers.emplace_back("X-Attempt-Id", "zz"); break;
+                 case Spoil::no_seal: x.headers.erase(x.headers.begin() + 2); break;
                  case Spoil::bare_503:
-                   if (!refuses) x.code = 503;
+                   if (!refuses) x.status = 503;
                    break;
                  case Spoil::bare_refusal:
                    x = UpstreamResponse{503, {{"Content-Length", "0"}, {"X-Not-Run", "1"}}, 0};
@@ -383,7 +383,7 @@
                  case Spoil::other_refusal:
                    x = UpstreamResponse{421, {{"Content-Length", "0"}, {"X-Attempt-Id", "zz"}, {"X-Not-Run", "1"}}, 0};
                    break;
-                 case Spoil::failed: x.code = 500; break;
+                 case Spoil::failed: x.status = 500; break;
                  default: break;
                }
                came(c, x, id);
@@ -410,9 +410,9 @@
     for (auto const& [k, h] : holder_)
       if (h != 0 && !claims_spoiled_ && chance_ == 0 && first_[k].empty() && told_lost_.count(h) == 0)
         fail("the claim on " + k + " is left behind");
-    if (table_.size() > 0 || table_.asks() > 0) fail("a slot or an ask is left behind");
+    if (table_.size() > 0 || table_.open_key_requests() > 0) fail("a slot or an ask is left behind");
     for (auto const& c : conns_)
-      if (c->busy) fail("a channel is left behind");
+      if (c->busy) fail("a connection is left behind");
     return broken;
   }
 
@@ -459,31 +459,31 @@
 
 // The planted faults.
 struct TrustsBroken : RequestRules {
-  static bool proves_not_run(AttemptResult e) { return surely_not_run(e) || e == AttemptResult::broken; }
+  static bool proves_not_run(AttemptResult e) { return dockbend::proves_not_run(e) || e == AttemptResult::broken; }
 };
 struct TrustsSilence : RequestRules {
-  static bool proves_not_run(AttemptResult e) { return surely_not_run(e) || e == AttemptResult::silent; }
+  static bool proves_not_run(AttemptResult e) { return dockbend::proves_not_run(e) || e == AttemptResult::silent; }
 };
 struct RefusesAlways : RequestRules {
   static bool may_refuse(RetryState const&) { return true; }
 };
 struct GivesBackAlways : RequestRules {
-  static bool may_give_back(RetryState const&) { return true; }
+  static bool may_release_key(RetryState const&) { return true; }
 };
 struct GoesOnAlways : RequestRules {
-  static bool may_go_on(RetryState const& c, Seconds) { return c.attempts() < 3; }
+  static bool may_retry(RetryState const& c, Seconds) { return c.attempts() < 3; }
 };
 struct ReadsNoId : RequestRules {
-  static ResponseCheck examine(UpstreamResponse const& r, std::string_view) {
-    std::string const* id = find_head(r.heads, "X-Attempt-Id");
-    return dockbend::examine(r, id != nullptr ? *id : "");
+  static ResponseCheck check_response(UpstreamResponse const& r, std::string_view) {
+    std::string const* id = find_header(r.headers, "X-Attempt-Id");
+    return dockbend::check_response(r, id != nullptr ? *id : "");
   }
 };
 struct RefusalNeedsNoId : RequestRules {
-  static ResponseCheck examine(UpstreamResponse const& r, std::string_view id) {
-    if (find_head(r.heads, "X-Not-Run") != nullptr && find_head(r.heads, "X-Attempt-Id") == nullptr)
+  static ResponseCheck check_response(UpstreamResponse const& r, std::string_view id) {
+    if (find_header(r.headers, "X-Not-Run") != nullptr && find_header(r.headers, "X-Attempt-Id") == nullptr)
       return {AttemptResult::not_run, std::nullopt};
-    return dockbend::examine(r, id);
+    return dockbend::check_response(r, id);
   }
 };
 struct NeverCuts : Shell {
@@ -521,22 +521,23 @@
 // A repeatable request with an attempt at work since 0, late from 1 on.
 RequestMachine at_work(u32 max_attempts) {
   RequestMachine r("a", false, RetryState(true, max_attempts, 10));
-  r.admitted();
-  r.began(0, 1, 0.25);
+  r.on_quota_granted();
+  r.attempt_started(0, 1, 0.25);
   return r;
 }
 // Nothing has changed: the attempt is waited for, and its answer goes to the client.
 void still_at_work(RequestMachine& r) {
   cr_assert(r.phase() == RequestMachine::Phase::attempt);
-  cr_assert_eq(r.course().arrivals(), 0u);
-  cr_assert_not(r.course().maybe_run());
-  cr_assert(r.ended(AttemptResult::whole, 5, 0.1, [] { return false; }).what == RequestAction::Do::pass);
+  cr_assert_eq(r.retry_state().arrivals(), 0u);
+  cr_assert_not(r.retry_state().may_have_run());
+  cr_assert(r.on_attempt_ended(AttemptResult::complete, 5, 0.1, [] { return false; }).step ==
+            RequestAction::Step::forward_response);
 }
 }  // namespace
 
 Test(request, an_empty_budget_breaks_off_no_attempt) {
   RequestMachine r = at_work(3);
-  cr_assert(r.course().due(2, true, true, false) == RetryState::Due::late);
+  cr_assert(r.retry_state().timer_meaning(2, true, true, false) == RetryState::TimerMeaning::late);
   cr_assert_not(r.replace_attempt(
       2, false, [] { return true; }, [] { return false; }));
   still_at_work(r);
@@ -551,19 +552,20 @@
   still_at_work(r);
 }
 
-Test(request, tries_used_up_break_off_no_attempt_and_take_no_token) {
+Test(request, used_up_attempts_break_off_no_attempt_and_take_no_token) {
   int asked = 0;
   auto const yes = [&] { return ++asked > 0; };
   RequestMachine one = at_work(1);
   cr_assert_not(one.replace_attempt(2, false, yes, yes));
   still_at_work(one);
-  RequestMachine r("a", false, RetryState(true, 2, 10));  // of four tries three reach no server
-  r.admitted();
+  RequestMachine r("a", false, RetryState(true, 2, 10));  // of four attempts three reach no server
+  r.on_quota_granted();
   for (int i = 0; i < 3; ++i) {
-    r.began(0, 1, 0.25);
-    cr_assert(r.ended(AttemptResult::unsent, 0.25, 0.1, [] { return false; }).what == RequestAction::Do::choose);
+    r.attempt_started(0, 1, 0.25);
+    cr_assert(r.on_attempt_ended(AttemptResult::unsent, 0.25, 0.1, [] { return false; }).step ==
+              RequestAction::Step::choose_server);
   }
-  r.began(0, 1, 0.25);
+  r.attempt_started(0, 1, 0.25);
   cr_assert_not(r.replace_attempt(2, false, yes, yes));
   cr_assert_eq(asked, 0);
   still_at_work(r);
@@ -592,13 +594,14 @@
         return true;
       }));
   cr_assert_str_eq(order.c_str(), "st", "the token is taken for a server that is chosen");
-  cr_assert(r.phase() == RequestMachine::Phase::choice);
-  cr_assert_eq(r.course().arrivals(), 1u);
-  cr_assert(r.course().maybe_run());
+  cr_assert(r.phase() == RequestMachine::Phase::server_choice);
+  cr_assert_eq(r.retry_state().arrivals(), 1u);
+  cr_assert(r.retry_state().may_have_run());
   // The retry reaches no server, twice: the token taken for it pays for the next.
   for (int i = 0; i < 2; ++i) {
-    r.began(2, 1, 0.25);
-    cr_assert(r.ended(AttemptResult::unsent, 2.3, 0.1, [] { return false; }).what == RequestAction::Do::choose);
+    r.attempt_started(2, 1, 0.25);
+    cr_assert(r.on_attempt_ended(AttemptResult::unsent, 2.3, 0.1, [] { return false; }).step ==
+              RequestAction::Step::choose_server);
   }
 }
 
@@ -607,14 +610,16 @@
   RequestMachine r = at_work(4);
   int tokens = 0;
   auto const spend = [&] { return ++tokens > 0; };
-  cr_assert(r.ended(AttemptResult::broken, 0.5, 0.1, spend).what == RequestAction::Do::choose);
+  cr_assert(r.on_attempt_ended(AttemptResult::broken, 0.5, 0.1, spend).step == RequestAction::Step::choose_server);
   cr_assert_eq(tokens, 1);
-  r.began(0.5, 1, 0.25);
-  cr_assert(r.ended(AttemptResult::unsent, 0.75, 0.1, [] { return false; }).what == RequestAction::Do::choose,
+  r.attempt_started(0.5, 1, 0.25);
+  cr_assert(r.on_attempt_ended(AttemptResult::unsent, 0.75, 0.1, [] { return false; }).step ==
+                RequestAction::Step::choose_server,
             "no second token is asked for");
-  r.began(0.75, 1, 0.25);
-  cr_assert(r.ended(AttemptResult::broken, 1, 0.1, spend).what == RequestAction::Do::choose);
+  r.attempt_started(0.75, 1, 0.25);
+  cr_assert(r.on_attempt_ended(AttemptResult::broken, 1, 0.1, spend).step == RequestAction::Step::choose_server);
   cr_assert_eq(tokens, 2, "that one arrived: the next is paid for anew");
-  r.began(1, 1, 0.25);
-  cr_assert(r.ended(AttemptResult::broken, 1.2, 0.1, [] { return false; }).what == RequestAction::Do::say);
+  r.attempt_started(1, 1, 0.25);
+  cr_assert(r.on_attempt_ended(AttemptResult::broken, 1.2, 0.1, [] { return false; }).step ==
+            RequestAction::Step::send_local_reply);
 }
--- a/tests/support/input_mutation.hpp
+++ b/tests/support/input_mutation.hpp
@@ -430,24 +430,24 @@
   int const codes[] = {200, 200, 204, 304, 500, 503, 421, 429, 99, 600, 0, -1};
   for (std::uint64_t i = 0; i < rounds; ++i) {
     UpstreamResponse r;
-    r.code = codes[sp.below(std::size(codes))];
-    r.body = sp.below(6);
+    r.status = codes[sp.below(std::size(codes))];
+    r.body_bytes = sp.below(6);
     for (std::uint64_t n = sp.below(6); n > 0; --n)
-      r.heads.emplace_back(names[sp.below(names.size())], values[sp.below(values.size())]);
+      r.headers.emplace_back(names[sp.below(names.size())], values[sp.below(values.size())]);
     ++o.cases;
-    AttemptResult const e = judge(r, "a1");
+    AttemptResult const e = check_response(r, "a1").result;
     ++(e == AttemptResult::broken ? o.refused : o.taken);
     std::size_t lengths = 0, codings = 0, ids = 0, others = 0;
-    for (auto const& [k, v] : r.heads) {
-      lengths += same_name(k, "Content-Length") ? 1 : 0;
-      codings += same_name(k, "Transfer-Encoding") ? 1 : 0;
-      ids += same_name(k, "X-Attempt-Id") && v == "a1" ? 1 : 0;
-      others += same_name(k, "X-Attempt-Id") && v != "a1" ? 1 : 0;
+    for (auto const& [k, v] : r.headers) {
+      lengths += same_header_name(k, "Content-Length") ? 1 : 0;
+      codings += same_header_name(k, "Transfer-Encoding") ? 1 : 0;
+      ids += same_header_name(k, "X-Attempt-Id") && v == "a1" ? 1 : 0;
+      others += same_header_name(k, "X-Attempt-Id") && v != "a1" ? 1 : 0;
     }
-    if (e != AttemptResult::broken && (lengths + codings > 1 || others > 0 || r.code < 200 || r.code > 599))
-      o.error_response("an ambiguous answer passed, code " + std::to_string(r.code));
-    if (e == AttemptResult::whole && ids == 0) o.error_response("an answer without an id passed");
-    if (well_formed(r.heads) && std::any_of(r.heads.begin(), r.heads.end(), [](auto const& h) {
+    if (e != AttemptResult::broken && (lengths + codings > 1 || others > 0 || r.status < 200 || r.status > 599))
+      o.error_response("an ambiguous answer passed, code " + std::to_string(r.status));
+    if (e == AttemptResult::complete && ids == 0) o.error_response("an answer without an id passed");
+    if (are_well_formed(r.headers) && std::any_of(r.headers.begin(), r.headers.end(), [](auto const& h) {
           return h.first.empty() || h.first.find_first_of(" \r") != std::string::npos;
         }))
       o.error_response("a name that is no token passed");
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// Channels to servers against a bare socket in the same process and the same loop.
+// Connections to servers against a bare socket in the same process and the same loop.
 #include <criterion/criterion.h>
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A server's bare socket on loopback: counts what it got, answers and closes when told to.
+// A server's bare socket on loopback: counts what it got, answers and closes on demand.
 struct Sink {
   event_base* loop = precise();
   evconnlistener* ls = nullptr;
@@ -100,56 +100,55 @@
   return st;
 }
 
-struct Desk {
+struct PoolWithServer {
   Sink sink;
   Settings st = settings();
   LoadBalancer as{st};
-  ConnectionPool shelf{sink.loop, as};
+  ConnectionPool pool{sink.loop, as};
   int returns = 0;
-  bool whole = false;
-  Desk() {
-    LoadBalancer::Seen s;
+  bool is_complete = false;
+  PoolWithServer() {
+    LoadBalancer::ServerUpdate s;
     s.id = "s1";
     s.service = "p";
     s.address = "127.0.0.1:" + std::to_string(sink.port);
     s.zone = "elm";
     s.ready = true;
-    as.table({s}, 0);
-    shelf.on_return.connect([this](UpstreamConnection&, evhttp_request* r) {
+    as.replace_servers({s}, 0);
+    pool.on_return.connect([this](UpstreamConnection&, evhttp_request* r) {
       ++returns;
-      whole = r != nullptr && evhttp_request_get_response_code(r) == 200;
+      is_complete = r != nullptr && evhttp_request_get_response_code(r) == 200;
     });
   }
   UpstreamConnection& send(Seconds now) {
-    UpstreamConnection& c = shelf.take(ServerIndex(0), 60, now, nullptr);
-    evhttp_request* const u = shelf.request(c);
+    UpstreamConnection& c = pool.acquire(ServerIndex(0), 60, now, nullptr);
+    evhttp_request* const u = pool.new_request(c);
     evhttp_add_header(evhttp_request_get_output_headers(u), "Connection", "keep-alive");
-    cr_assert(shelf.send(c, u, EVHTTP_REQ_GET, "/x", 1000));
+    cr_assert(pool.send(c, u, EVHTTP_REQ_GET, "/x", 1000));
     return c;
   }
 };
 
 }  // namespace
 
-// Let go at each turn of the loop from the connect to the first byte, and within the turn
-// in which the connect comes up: as long as the channel says that nothing left, nothing
-// ever does.
-Test(shelf, let_go_before_the_first_byte_sends_none_later) {
+// Retired at each turn of the loop from the connect to the first byte, and within the turn in which the connect comes
+// up: as long as the connection says that nothing was sent, nothing ever is.
+Test(connection_pool, a_connection_retired_before_the_first_byte_sends_none_later) {
   int before = 0;
   for (int turns = -1; turns < 8; ++turns) {
-    Desk d;
+    PoolWithServer d;
     UpstreamConnection& c = d.send(0);
     bool left = false;
-    auto const let_go = [&] {
-      left = c.sent;
-      c.busy = false;
-      d.shelf.doom(c);
+    auto const retire = [&] {
+      left = c.has_sent;
+      c.is_busy = false;
+      d.pool.retire(c);
     };
     if (turns < 0) {
-      d.sink.within_the_turn(let_go);
+      d.sink.within_the_turn(retire);
     } else {
       d.sink.turn(turns);
-      let_go();
+      retire();
     }
     d.sink.turn(20);
     if (left) break;
@@ -160,49 +159,49 @@
   cr_assert_gt(before, 1);
 }
 
-// A kept channel that its server closes in the very turn in which a request is made on
-// it: libevent neither sends it again nor elsewhere, and what it throws away is no send.
-Test(shelf, a_close_met_by_a_send_is_known_to_have_sent_nothing) {
-  Desk d;
+// A kept connection that its server closes in the very turn in which a request is made on it: libevent neither sends it
+// again nor elsewhere, and the bytes that it throws away do not count as sent.
+Test(connection_pool, a_close_met_by_a_send_is_known_to_have_sent_nothing) {
+  PoolWithServer d;
   UpstreamConnection& c = d.send(0);
   d.sink.until([&] { return d.sink.bytes > 0; });
-  cr_assert(c.sent);
+  cr_assert(c.has_sent);
   d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   d.sink.until([&] { return d.returns == 1; });
-  cr_assert(d.whole);
-  d.shelf.keep(c, 4, 1);
+  cr_assert(d.is_complete);
+  d.pool.release_idle(c, 4, 1);
   d.sink.bytes = 0;
   bool same = false;
   d.sink.within_the_turn([&] { same = &d.send(1.1) == &c; }, [&] { d.sink.close(); });
   cr_assert(same);
   d.sink.turn(20);
   cr_assert_eq(d.returns, 2);
-  cr_assert_not(d.whole || c.sent);
+  cr_assert_not(d.is_complete || c.has_sent);
   cr_assert(d.sink.conns.empty() && d.sink.bytes == 0);
 }
 
-// After the first byte a close says nothing of whether it ran; and it is not sent again.
-Test(shelf, a_close_after_the_first_byte_leaves_it_open_and_sends_nothing_again) {
-  Desk d;
+// After the first byte a close proves nothing about whether the request ran; and it is not sent again.
+Test(connection_pool, a_close_after_the_first_byte_proves_nothing_and_sends_nothing_again) {
+  PoolWithServer d;
   UpstreamConnection& c = d.send(0);
   d.sink.until([&] { return d.sink.bytes > 0; });
   std::size_t const n = d.sink.bytes;
   d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok");
   d.sink.close();
   d.sink.until([&] { return d.returns == 1; });
-  cr_assert(c.sent && !d.whole, "an answer that ends early is none");
+  cr_assert(c.has_sent && !d.is_complete, "an answer that ends early is none");
   d.sink.turn(20);
   cr_assert(d.sink.conns.empty() && d.sink.bytes == n);
 }
 
 namespace {
-// How long until libevent gives up on silence at this socket; < 0: no such limit stands.
+// How long until libevent gives up on silence at this socket; < 0: there is no such limit.
 struct SilenceLimit {
   evutil_socket_t fd;
   Seconds left = -1;
 };
 Seconds silence_limit(event_base* loop, UpstreamConnection& c) {
-  SilenceLimit l{bufferevent_getfd(evhttp_connection_get_bufferevent(c.ec))};
+  SilenceLimit l{bufferevent_getfd(evhttp_connection_get_bufferevent(c.http.get()))};
   event_base_foreach_event(
       loop,
       [](event_base const*, event const* e, void* p) {
@@ -220,19 +219,19 @@
 }
 }  // namespace
 
-// The deadline of a request is up to its manifest: the channel has no shorter limit of its own.
-Test(shelf, a_servers_silence_ends_no_request) {
-  Desk d;
+// The deadline of a request comes from the configuration: the connection has no shorter limit of its own.
+Test(connection_pool, a_servers_silence_ends_no_request) {
+  PoolWithServer d;
   UpstreamConnection* c = &d.send(0);
-  for (int i = 0; i < 2; ++i) {  // on a new channel and on a kept one
+  for (int i = 0; i < 2; ++i) {  // on a new connection and on a kept one
     std::size_t const before = d.sink.bytes;
     d.sink.until([&] { return d.sink.bytes > before; });
     d.sink.turn(3);
     cr_assert_gt(silence_limit(d.sink.loop, *c), 1e9);
     d.sink.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     d.sink.until([&] { return d.returns == i + 1; });
-    cr_assert(d.whole);
-    d.shelf.keep(*c, 30, 0);
+    cr_assert(d.is_complete);
+    d.pool.release_idle(*c, 30, 0);
     d.sink.turn(3);
     cr_assert_lt(silence_limit(d.sink.loop, *c), 61);
     if (i == 0) {
