--- a/packages/controller/api_responder.cpp
+++ b/packages/controller/api_responder.cpp
@@ -32,7 +32,7 @@
   if (response.code == 503) evhttp_add_header(headers, "Retry-After", kRetryAfterSeconds);
   BufferOwner const body(evbuffer_new());
   evbuffer_add(body.get(), response.body.data(), response.body.size());
-  evhttp_send_reply(request, response.code, reason_of(response.code), body.get());
+  evhttp_send_reply(request, response.code, reason_phrase(response.code), body.get());
 }
 
 void ApiResponder::on_handler_failed(evhttp_request* request, std::exception const& error) {
--- a/packages/model_checking/idempotency_events.cpp
+++ b/packages/model_checking/idempotency_events.cpp
@@ -1,8 +1,8 @@
 // What each event of the idempotency model does.
 #include <algorithm>
 
-#include "model_checking/model_values.hpp"
 #include "model_checking/idempotency_world.hpp"
+#include "model_checking/model_values.hpp"
 
 namespace dockbend::model_checking {
 namespace {
--- a/packages/planning/traffic_simulation.cpp
+++ b/packages/planning/traffic_simulation.cpp
@@ -120,38 +120,38 @@
 
 /// Gives a load balancer what a proxy's would know.
 void TrafficSimulation::fill_balancer(LoadBalancer& balancer) const {
-  std::vector<LoadBalancer::Seen> rows;
+  std::vector<LoadBalancer::ServerUpdate> rows;
   for (ServerSnapshot const& server : fleet_.servers) {
-    LoadBalancer::Seen row;
+    LoadBalancer::ServerUpdate row;
     row.id = server.id;
     row.service = server.service;
     row.address = "0.0.0.0:1";
     row.zone = server.zone;
     row.capacity = server.capacity;
     row.ready = server.ready && gone_servers_.count(server.id) == 0;
-    row.cold_left = server.coldLeftS;
+    row.warm_up_left = server.coldLeftS;
     rows.push_back(std::move(row));
   }
   for (ServiceSnapshot const& service : fleet_.pools)
-    balancer.rule(balancer.pool(service.name),
-                  ServiceLimits{static_cast<double>(service.connLimit), service.coldRateS, 0});
-  balancer.table(rows, 0);
+    balancer.set_limits(balancer.service_index(service.name),
+                        ServiceLimits{static_cast<double>(service.connLimit), service.coldRateS, 0});
+  balancer.replace_servers(rows, 0);
   std::map<std::string, u32> proxies_by_zone;
   std::set<std::string> evacuated = gone_zones_;
   for (ZoneSnapshot const& zone : fleet_.zones) {
     proxies_by_zone[zone.zone] = zone.proxies;
     if (zone.evacuated) evacuated.insert(zone.zone);
   }
-  balancer.sites(proxies_by_zone);
-  for (std::size_t i = 0; i < balancer.targets().size(); ++i) {
-    Endpoint& endpoint = balancer.at(ServerIndex(static_cast<u32>(i)));
+  balancer.set_proxy_counts(proxies_by_zone);
+  for (std::size_t i = 0; i < balancer.endpoints().size(); ++i) {
+    Endpoint& endpoint = balancer.endpoint(ServerIndex(static_cast<u32>(i)));
     auto const it = server_positions_.find(endpoint.id);
     if (it == server_positions_.end()) continue;
-    endpoint.lat = servers_[it->second].latency;
-    endpoint.lat_at = 0;
-    balancer.know_pool(endpoint.pool, endpoint.lat);
+    endpoint.latency = servers_[it->second].latency;
+    endpoint.latency_at = 0;
+    balancer.learn_latency(endpoint.service, endpoint.latency);
   }
-  balancer.evacuated(evacuated, 0);
+  balancer.set_evacuated_zones(evacuated, 0);
 }
 
 /// Arrivals of a route are a Poisson process.
@@ -175,25 +175,26 @@
 
   std::vector<LocationIndex> homes;
   EndpointQuery query;
-  query.pool = balancer.pool(route.pool);
+  query.service = balancer.service_index(route.pool);
   for (std::string const& home : route.homes)
-    homes.push_back(balancer.region(home));
+    homes.push_back(balancer.region_index(home));
   if (definition != nullptr) query.latency_target = definition->setpointS;
   query.homes = &homes;
-  query.bulky = random_share() < route.bulky;
+  query.is_upload = random_share() < route.bulky;
   LoadBalancer::Choice const choice = balancer.choose(query, event.at);
-  bool const is_shed = definition != nullptr && should_shed(definition->rank, choice.est, definition->setpointS);
-  if (!choice.ix || is_shed) {
-    bool const nobody_may_serve = !choice.ix && choice.no == LoadBalancer::No::none;
+  bool const is_shed =
+      definition != nullptr && should_shed(definition->rank, choice.expected_latency, definition->setpointS);
+  if (!choice.server || is_shed) {
+    bool const nobody_may_serve = !choice.server && choice.refusal == LoadBalancer::Refusal::no_candidate;
     if (counts) (nobody_may_serve ? result_.without_server : result_.without_capacity)[route.route] += 1;
     return;
   }
 
-  balancer.took(*choice.ix, event.at);
-  std::size_t const position = server_positions_.find(balancer.at(*choice.ix).id)->second;
+  balancer.attempt_started(*choice.server, event.at);
+  std::size_t const position = server_positions_.find(balancer.endpoint(*choice.server).id)->second;
   ServerSnapshot const& snapshot = fleet_.servers[position];
   event.server = static_cast<int>(position);
-  event.index = *choice.ix;
+  event.index = *choice.server;
   event.sent_at = event.at;
   if (counts) result_.attempts[{snapshot.zone, route.route}] += 1;
   Server& server = servers_[position];
@@ -217,7 +218,7 @@
   --server.busy_slots;
   result_.busy_slot_seconds[{snapshot.zone, snapshot.service}] +=
       std::max(0.0, event.at - std::max(event.begun_at, warm_up_end_));
-  proxies_[event.proxy]->balancer->gave(event.index, event.at - event.sent_at, true, event.at);
+  proxies_[event.proxy]->balancer->attempt_succeeded(event.index, event.at - event.sent_at, event.at);
   if (server.queue.empty()) return;
   Event const next = server.queue.front();
   server.queue.pop_front();
