--- /dev/null
+++ b/scripts/test.sh
@@ -0,0 +1,34 @@
+#!/bin/bash
+# Installs what is missing, builds, and passes all tests and checks. CI runs just this. Needs no kit.
+#   scripts/test.sh
+set -eu
+cd "$(dirname "$0")/.."
+build=target/dev
+scripts/install_packages.sh
+
+echo "--- layers, formatter, shell scripts"
+tests/layering_test.py # the check itself finds violations
+tests/layering.py
+find packages programs tests -name '*.[ch]pp' -print0 | xargs -0 clang-format --dry-run --Werror
+shellcheck .ci/run scripts/*.sh tests/*.sh tests/*/*.sh
+
+echo "--- build"
+cmake -S . -B $build -G Ninja -DCMAKE_BUILD_TYPE=Release > /dev/null
+cmake --build $build
+
+echo "--- linter, over the packages of tests/lint_packages.txt"
+tests/lint.sh $build
+
+echo "--- programs, golden files, malformed input at running processes"
+for program in proxy agent controller loadgen hollow-nodes model-check; do
+  ./$build/dockbend-$program --help > /dev/null
+  ./$build/dockbend-$program --version > /dev/null
+done
+tests/hollow_nodes.sh $build
+tests/robustness/malformed_input_ports.sh $build
+tests/golden/command_line.sh $build
+tests/golden/control_api.sh $build
+tests/package_list.sh $build
+
+echo "--- unit tests"
+ctest --test-dir $build -j"$(nproc)" --output-on-failure
--- a/tests/robustness/malformed_input_ports.sh
+++ b/tests/robustness/malformed_input_ports.sh
@@ -8,6 +8,7 @@
 cd "$(dirname "$0")/../.."
 work=$(mktemp -d)
 pids=()
+# shellcheck disable=SC2317 # the trap below calls it
 end() {
   for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done
   wait || true
