--- a/packages/idempotency/include/idempotency/key_table.hpp
+++ b/packages/idempotency/include/idempotency/key_table.hpp
@@ -14,6 +14,10 @@
 
 /// Grants each key to the first holder that claims it.
 ///
+/// Fencing: claim() refuses a claim of another epoch than the disk's, and one whose holder has released. That the claim
+/// names this disk's incarnation is checked before, by the controller's IdempotencyService::claim. The claimant checks
+/// the votes by the same two numbers (ClaimCoordinator, ClaimQuorum).
+///
 /// Invariants:
 /// - a key has one holder until that holder releases it or it is forgotten for its age;
 /// - a sealed entry, one that was copied from another disk, is never granted again, not even to its holder;
--- a/packages/request/include/request/admission.hpp
+++ b/packages/request/include/request/admission.hpp
@@ -27,7 +27,7 @@
   std::string key;                       ///< idempotency key, with the tenant's name before it; empty: not keyed
   std::string const* service = nullptr;  ///< owned by the route
   std::vector<std::string> homes;        ///< regions that may serve it; empty: any
-  bool is_repeatable = false;            ///< may run more than once
+  bool is_repeatable = false;            ///< its route is idempotent, or it is keyed and its service deduplicates
   bool is_upload = false;                ///< costly to send far, and not begun while draining
   u32 rank = 0;                          ///< priority; lower ranks are shed last
   Seconds time_left = 0;                 ///< until its deadline
