--- a/packages/base/include/base/record.hpp
+++ b/packages/base/include/base/record.hpp
@@ -1,5 +1,6 @@
-// Plain records whose fields Boost.Hana can walk: one declaration serves the binary wire
-// format (wire/codec.hpp), JSON (configuration/json.hpp) and the checks on both.
+/// \file
+/// Plain records whose fields Boost.Hana can walk: one declaration serves the binary wire
+/// format (wire/codec.hpp), JSON (configuration/json.hpp) and the checks on both.
 #pragma once
 #include <boost/hana.hpp>
 #include <boost/preprocessor.hpp>
--- a/packages/base/include/base/unmatched_messages.hpp
+++ b/packages/base/include/base/unmatched_messages.hpp
@@ -1,5 +1,6 @@
-// What a part dropped because no open question fits it, by reason. A count that rises
-// harms nobody: what was dropped answered nothing and changed nothing.
+/// \file
+/// Counts of messages that were ignored because they answer no open request, by reason. An ignored message
+/// changed no state, so a rising count is no fault by itself.
 #pragma once
 #include <array>
 #include <string>
@@ -8,16 +9,17 @@
 
 namespace dockbend {
 
+/// Why a message was ignored.
 enum class UnmatchedReason : u8 {
-  no_question,  // nothing that is open waits for it: its time ran out, or it was answered
-  connection,   // it answers what was asked over an earlier connection
-  disk_life,    // it speaks for another disk than the roster names
-  epoch,        // it speaks of another roster than it was asked about
-  twice,        // this one has answered before
-  other_key,    // the answer to another question
-  late_claim,   // a claim that its own holder has given up meanwhile
-  term,         // an order to whoever had a duty before
-  owed,         // a release that could not be kept for a disk that is out of touch
+  no_question,  ///< no open request waits for it: the request timed out or was answered
+  connection,   ///< it answers a request that was sent over an earlier connection
+  disk_life,    ///< its incarnation is not the one that the membership names
+  epoch,        ///< its membership epoch is not the one of the request
+  twice,        ///< this member has answered before
+  other_key,    ///< it answers another request
+  late_claim,   ///< a claim whose holder has released the key meanwhile
+  term,         ///< a command to an earlier holder of a lease
+  owed,         ///< a release that could not be kept for an unreachable disk
 };
 constexpr std::size_t kUnmatchedReasonCount = 9;
 constexpr char const* name_of(UnmatchedReason f) {
@@ -27,6 +29,7 @@
   return n[static_cast<std::size_t>(f)];
 }
 
+/// The counts. Invariant: they never fall.
 class UnmatchedMessages {
  public:
   void drop(UnmatchedReason f, u64 n = 1) { n_[static_cast<std::size_t>(f)] += n; }
@@ -37,12 +40,13 @@
       s += x;
     return s;
   }
+  /// Calls f(reason, count) for each reason whose count is not 0.
   template <class F>
   void each(F f) const {
     for (std::size_t i = 0; i < kUnmatchedReasonCount; ++i)
       if (n_[i] > 0) f(static_cast<UnmatchedReason>(i), n_[i]);
   }
-  // For the log: what came since the last call; empty: nothing.
+  /// For the log: the reasons and counts since the last call; empty if there were none.
   std::string news() {
     std::string s;
     for (std::size_t i = 0; i < kUnmatchedReasonCount; ++i)
--- a/packages/linearizability/include/linearizability/linearizability.hpp
+++ b/packages/linearizability/include/linearizability/linearizability.hpp
@@ -1,6 +1,7 @@
-// Is a recorded history linearizable: is there one order of its calls, each at a moment
-// between its start and its end, in which a model gives every answer that was given? The
-// search is Wing and Gong's, with Lowe's memory of (calls placed, state reached). No I/O.
+/// \file
+/// Whether a recorded history is linearizable: is there one order of its calls, each taking effect between its start
+/// and its end, in which a sequential model gives every answer that was recorded? The search is Wing and Gong's, with
+/// Lowe's cache of (calls placed, state reached). No I/O.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -13,11 +14,12 @@
 
 namespace dockbend::linearizability {
 
+/// A time point, in any unit that only rises.
 using Moment = std::uint64_t;
 inline constexpr Moment kNever = std::numeric_limits<Moment>::max();
 
-// A call whose outcome its caller does not know may have its effect at any moment from
-// `from` up to `to`, or not at all; one that is known had it between the two.
+/// One call. `known`: its caller got an answer, and the call took effect between `from` and `to`; otherwise it may have
+/// taken effect at any moment between them, or not at all.
 template <class Op>
 struct RecordedOperation {
   Op op;
@@ -25,10 +27,10 @@
   bool known = false;
 };
 
-// What the calls are about. next() applies op, if the model allows the answer that it bears
-// (only a known one bears any), and says whether it does; key() tells states apart; lost()
-// says that no later state could explain op's answer: saying it late costs only time. asks(),
-// if there is one, names what op asks, whatever was answered: two of one name do the same.
+/// A sequential model. next() applies op if the model allows its recorded answer (only a known call has one), and
+/// returns whether it does; key() is different for different states; lost() returns true if no later state could
+/// explain op's answer (returning it late only costs time). asks(), which is optional, names the request of op
+/// regardless of its answer: two calls with the same name have the same effect.
 template <class M>
 concept Model = requires(typename M::State s, typename M::State const& c, typename M::Op const& op) {
   { M::next(s, op, true) } -> std::same_as<bool>;
@@ -36,12 +38,14 @@
   { M::lost(c, op) } -> std::same_as<bool>;
 };
 
+/// gave_up: the limit of search steps was reached.
 enum class CheckVerdict { linearizable, broken, gave_up };
 
+/// The outcome of a search.
 struct CheckReport {
   CheckVerdict finding = CheckVerdict::linearizable;
-  std::size_t placed = 0;          // the most calls that any order tried explains
-  std::vector<std::size_t> stuck;  // with those placed: the calls of which none could come next
+  std::size_t placed = 0;          // the most known calls that an attempted order explains
+  std::vector<std::size_t> stuck;  // after these: the calls of which none could come next
   std::size_t steps = 0;
 };
 
@@ -50,27 +54,27 @@
 struct Search {
   std::vector<RecordedOperation<typename M::Op>> const& h;
   std::size_t most, known = 0;
-  std::vector<std::size_t> order;  // by start
+  std::vector<std::size_t> order;  // indices into h, by start
   std::vector<bool> placed;
-  // Where the search failed: state and known calls placed -> the other calls placed. Who has
-  // placed the same and more has fewer left to go on with, and fails too.
+  // Where the search failed: state and known calls placed -> the unknown calls placed. A search that has placed the
+  // same ones and more has fewer left, and fails too.
   using Used = std::vector<bool>;
   std::unordered_map<std::string, std::vector<Used>> failed;
   CheckReport rep;
-  // For a call that nobody knows of: the one before it that asks the same and has the same time.
-  // Of such the earliest is placed first; any other order of them explains no more.
+  // For a call with unknown outcome: the one before it with the same request and end. The earliest of them is placed
+  // first; any other order of them explains no more.
   std::vector<std::size_t> twin;
 
-  // The call placed just before, if nobody knows its outcome, and the state before it.
+  // The call placed last, if its outcome is unknown, and the state before it.
   struct Last {
     std::size_t x = none;
     typename M::State before{};
   };
-  static constexpr std::size_t look = 32;  // calls ahead that are asked whether they are lost
+  static constexpr std::size_t look = 32;  // how many of the next calls are checked by lost()
   static constexpr std::size_t none = std::numeric_limits<std::size_t>::max();
 
-  // Would the same answers come without `last`, or with it placed one later? Then that
-  // order is tried elsewhere, and this one need not be.
+  // Whether the same answers are explained without `last`, or with it placed one later. That order is tried elsewhere,
+  // so this one need not be.
   bool idle(Last const& last, std::size_t y, typename M::State const& both) const {
     if (last.x == none) return false;
     typename M::State s = last.before;
@@ -81,15 +85,15 @@
     return M::next(s, h[last.x].op, false) && M::key(s) == want;
   }
 
-  // From here on: which calls may come next are those that began before any that is
-  // still to be placed had ended.
+  // Searches on from state st. The calls that may come next are those that began before any call that is not placed
+  // yet had ended.
   bool go(typename M::State const& st, std::size_t n_known, std::size_t low, Moment latest, Last const& before) {
     if (n_known == known) return true;
     if (++rep.steps > most) return false;
     while (low < order.size() && placed[order[low]])
       ++low;
     std::string const here = M::key(st);
-    // What lies before `low` is placed, what lies far behind is not: only the window differs.
+    // All calls before `low` are placed and those far behind it are not: only the window between differs.
     std::string k = here + '\0' + std::to_string(low) + ' ';
     Used used;
     for (std::size_t i = low; i < order.size(); ++i) {
@@ -118,13 +122,13 @@
     std::stable_sort(may.begin(), may.end(), [&](std::size_t a, std::size_t b) { return h[a].to < h[b].to; });
     for (bool const known_now : {true, false})
       for (std::size_t const x : may) {
-        // One that is not known has missed its time once a call that began later is placed.
+        // An unknown call can no longer be placed once a call that began after its end is.
         if (placed[x] || h[x].known != known_now || h[x].to < latest) continue;
         if (!known_now && twin[x] != none && !placed[twin[x]]) continue;
         if (known_now) attempted.push_back(x);
         typename M::State next = st;
         if (!M::next(next, h[x].op, known_now)) continue;
-        // What nobody saw and what changes nothing need not have been.
+        // An unknown call that changes nothing need not be placed.
         if (!known_now && M::key(next) == here) continue;
         if (idle(before, x, next)) continue;
         placed[x] = true;
@@ -152,8 +156,8 @@
 };
 }  // namespace detail
 
-// At most `most` states are looked at; a day of a few hundred calls by eight callers takes
-// a few thousand.
+/// Checks history h from the state `first`. At most `most` search steps are made; a history of a few hundred calls by
+/// eight callers takes a few thousand.
 template <Model M>
 CheckReport check(std::vector<RecordedOperation<typename M::Op>> const& h, typename M::State first,
                   std::size_t most = 2'000'000) {
--- a/packages/logging/log.cpp
+++ b/packages/logging/log.cpp
@@ -9,7 +9,7 @@
 
 namespace dockbend {
 namespace {
-log4cplus::Initializer* init = nullptr;  // never freed: its threads go with the process
+log4cplus::Initializer* init = nullptr;  // never freed: its threads end with the process
 }
 
 void start_log() {
--- a/packages/process/include/process/program.hpp
+++ b/packages/process/include/process/program.hpp
@@ -1,4 +1,5 @@
-// What every program shares: command line, settings, signals, a watched file.
+/// \file
+/// What every daemon shares: command line, settings, signals, and the watch on the settings file.
 #pragma once
 #include <event2/event.h>
 #include <unistd.h>
@@ -14,23 +15,25 @@
 
 namespace dockbend {
 
+/// A program's name, purpose and needs.
 struct ProgramInfo {
   char const* name;
   char const* what;
-  bool can_stage = false;            // knows --staged
-  std::vector<std::string> binds{};  // addresses it can't do without
-  bool keeps = false;                // has a disk, and founds the system with the seeds
+  bool can_stage = false;            // accepts --staged
+  std::vector<std::string> binds{};  // bind addresses that must be set
+  bool keeps = false;                // has a data directory, and initialises the system with the seeds
 };
 
-// Reads the command line (--help, --version, --check, --settings FILE) and the
-// settings. Returns an exit code if the program shall end at once.
+/// Reads the command line (--help, --version, --check, --settings FILE) and the settings, and starts the log.
+/// Returns an exit code if the program is to end at once.
 std::optional<int> open_program(ProgramInfo const& cli, int argc, char** argv, Settings& st);
 
-// Has a SIGTERM (or SIGINT) arrived at a process that has a Watch? True from the moment the
-// signal is delivered, also while its event still waits in the loop behind others.
+/// Whether a SIGTERM or SIGINT has arrived while a ProcessSignals exists. True from the moment the signal is
+/// delivered, also while its event still waits in the event loop behind others.
 bool term_arrived();
 
-// SIGTERM, SIGHUP and the settings file's changes, on the event loop.
+/// SIGTERM, SIGINT, SIGHUP and changes of the settings file, on the event loop. A settings file that is bad is logged
+/// and ignored.
 class ProcessSignals {
  public:
   sigc::signal<void()> on_term;
@@ -46,8 +49,9 @@
   i64 seen_mtime_ = 0, seen_size_ = 0;
 };
 
-// The whole life of a daemon: settings, its task, its signals, the loop. The task
-// has term() and settings(); it breaks the loop when it is done.
+/// Runs a daemon from start to end: settings, its task, its signals, the event loop. Task is constructed with the loop
+/// and the settings, has term() and settings(), and breaks the loop when it is done. Returns the exit code, or ends the
+/// process with 0.
 template <class Task>
 int run_daemon(ProgramInfo const& cli, int argc, char** argv) {
   Settings st;
@@ -60,7 +64,7 @@
     w.on_term.connect([&] { task.term(); });
     w.on_settings.connect([&](Settings const& s) { task.settings(s); });
     event_base_dispatch(loop);
-    _exit(0);  // nothing is left to unwind, and log threads need not be waited for
+    _exit(0);  // nothing is left to destroy, and the log threads need not be joined
   } catch (SettingsError const& e) {
     std::fprintf(stderr, "%s: settings: %s\n", cli.name, e.what());
     return 2;
--- a/packages/process/program.cpp
+++ b/packages/process/program.cpp
@@ -37,8 +37,8 @@
   SignalHandler const next = sig == SIGTERM ? term_next : int_next;
   if (next != nullptr) next(sig);
 }
-// Puts note_term before the handler that libevent has installed; flags and mask stay as they
-// are. When its event is deleted, libevent restores what stood before both.
+/// Installs note_term before libevent's handler; flags and mask stay as they are. When its event is deleted,
+/// libevent restores the handler that was installed before both.
 void chain_term(int sig, SignalHandler& next) {
   struct sigaction sa {};
   if (sigaction(sig, nullptr, &sa) != 0 || (sa.sa_flags & SA_SIGINFO) != 0) return;
--- a/packages/settings/settings.cpp
+++ b/packages/settings/settings.cpp
@@ -29,7 +29,7 @@
 double number(std::string const& f, std::string const& v, double lo, double hi) {
   char* end = nullptr;
   double const d = std::strtod(v.c_str(), &end);
-  // Decimal alone: strtod takes blanks, nan and hexadecimal too.
+  // Decimal only: strtod accepts blanks, nan and hexadecimal too.
   bool const plain = !v.empty() && v.find_first_not_of("0123456789+-.eE") == std::string::npos;
   if (!plain || end != v.c_str() + v.size() || !std::isfinite(d)) throw SettingsError(f, "not a number: '" + v + "'");
   if (d < lo || d > hi) throw SettingsError(f, "out of range: " + v);
@@ -163,7 +163,7 @@
     std::string const k = line.substr(0, eq), v = line.substr(eq + 1);
     if (known.count(k) == 0 && k.rfind("zones.", 0) != 0 && k.rfind("bind.", 0) != 0) continue;
     if (has_control(k) || has_control(v)) throw SettingsError(k.substr(0, k.find('.')), "holds a control character");
-    // Which of two would be meant can't be known. The same said twice does no harm.
+    // Which of two values is meant can't be known; the same value given twice does no harm.
     if (auto const [g, fresh] = given.try_emplace(k, v); !fresh && g->second != v)
       throw SettingsError(k, "given twice: '" + g->second + "' and '" + v + "'");
     if (k.rfind("zones.", 0) == 0) {
--- a/packages/wire/include/wire/codec.hpp
+++ b/packages/wire/include/wire/codec.hpp
@@ -1,8 +1,10 @@
-// Messages between our own processes: Hana structs written and read by nanopb.
-// A member's tag is its place in the struct, from 1. Unknown tags are skipped,
-// so a newer sender may add members at the end; what an older one lacks reads as zero.
-// Invariant: unpack gives a record whose numbers are finite and fit their fields, or
-// throws Malformed; a list or text is never longer than the bytes that came.
+/// \file
+/// Encoding of messages between our own processes: Hana structs written and read by nanopb.
+///
+/// A member's tag is its position in the struct, from 1. Unknown tags are skipped, so a newer sender may add
+/// members at the end; a member that an older sender lacks reads as zero.
+/// Invariant: unpack() returns a record whose numbers are finite and fit their fields, or throws
+/// MalformedMessage; no list or string is longer than the received bytes.
 #pragma once
 #include <pb_decode.h>
 #include <pb_encode.h>
@@ -20,6 +22,7 @@
 namespace dockbend::codec {
 namespace hana = boost::hana;
 
+/// The bytes are not a valid record.
 struct MalformedMessage : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -37,10 +40,13 @@
 template <class T>
 concept IntegerOrEnum = std::is_integral_v<T> || std::is_enum_v<T>;
 
+/// nanopb's output callback: appends to the std::string in st->state.
 bool append(pb_ostream_t* st, pb_byte_t const* buf, size_t n);
 
+/// The record's encoding.
 template <Record T>
 std::string pack(T const& x);
+/// Reads all of `in` into x, on top of what x has. Throws MalformedMessage.
 template <Record T>
 void unpack_from(pb_istream_t* in, T& x);
 
@@ -85,7 +91,7 @@
     pb_encode_tag(st, PB_WT_STRING, tag);
     pb_encode_string(st, reinterpret_cast<pb_byte_t const*>(x.data()), x.size());
   } else if constexpr (std::is_floating_point_v<T>) {
-    if (x == 0 || !std::isfinite(x)) return;  // what no receiver takes is not sent
+    if (x == 0 || !std::isfinite(x)) return;  // receivers reject a number that is not finite
     double const d = x;
     pb_encode_tag(st, PB_WT_64BIT, tag);
     pb_encode_fixed64(st, &d);
@@ -172,6 +178,7 @@
   }
 }
 
+/// The record with this encoding. Throws MalformedMessage.
 template <Record T>
 T unpack(std::string_view s) {
   T x{};
