--- a/packages/controller/directory_service.cpp
+++ b/packages/controller/directory_service.cpp
@@ -35,7 +35,7 @@
   for (ProxyRecord const& r : n.rows) {
     if (context_.settings.region_of(r.zone) != r.region || r.front.empty()) continue;
     auto const it = catalog_.entries().find(r.front);
-    // Who registered here is known first-hand.
+    // Our own entry is newer than what a peer says of it.
     if (it != catalog_.entries().end() && it->second.channel != 0 && now - it->second.heard < 1.0) continue;
     if (r.gone) {
       if (it != catalog_.entries().end() && it->second.via == origin) catalog_.remove(r.front);
@@ -50,14 +50,14 @@
     u64 const marks = catalog_.renew_entries_of(origin, now);
     int& off = far_off_[origin];
     off = marks == n.marks ? 0 : off + 1;
-    // News may be on its way past us; a difference that lasts is mended by the whole.
+    // Updates may still be in flight; a difference that lasts is repaired by asking for all entries.
     if (off >= 2) {
       off = 0;
       if (auto const it = context_.controllers.find(origin); it != context_.controllers.end() && it->second.link)
         it->second.link->send(MessageType::proxy_records_request, 0, ProxyGossip{});
     }
   }
-  // Counts change with rows that come or go; else once a tick is enough.
+  // Counts change when entries come or go; otherwise once a tick is enough.
   if (catalog_.entries().size() != counted_rows_) count_sites(now);
 }
 
@@ -89,7 +89,7 @@
   schema::ResolveResponse ret;
   for (ProxyEntry const* s : l)
     ret.addresses.push_back(s->front);
-  // Who has but one address has nowhere else to go until it asks again.
+  // A client with only one address has no alternative until it asks again.
   ret.ttlS = std::min(l.size() > 1 ? 2.0 : 1.0, context_.settings.bounds.ttlMaxS);
   context_.api.write(r, ApiResponse{200, json::render(ret)});
 }
@@ -101,7 +101,7 @@
     ++n[s.zone];
   bool changed = false;
   for (auto& [z, c] : counts_)
-    if (n[z] >= c.n || !context_.in_contact()) c.seen = now;  // out of contact we may just not hear of them
+    if (n[z] >= c.n || !context_.in_contact()) c.seen = now;  // out of contact: their keepalives may not reach us
   for (auto const& [z, k] : n) {
     Counted& c = counts_[z];
     if (k > c.n || (k < c.n && now - c.seen > context_.settings.bounds.retryWindowS)) {
--- a/packages/controller/idempotency_service.cpp
+++ b/packages/controller/idempotency_service.cpp
@@ -23,7 +23,7 @@
   if (filling_ || !context_.committed) return;
   ReplicatedState const& st = *context_.committed;
   Member const* m = st.member(ip);
-  if (r.ok && r.epoch < st.epoch) context_.unmatched.drop(UnmatchedReason::epoch);  // asked under an earlier roster
+  if (r.ok && r.epoch < st.epoch) context_.unmatched.drop(UnmatchedReason::epoch);  // asked in an earlier epoch
   KeyBackfill::Progress const got = copying_.on_response(
       ip, r, {m == nullptr ? std::nullopt : std::optional<Incarnation>(m->incarnation), st.epoch, st.majority()},
       ledger_, steady_now());
@@ -42,7 +42,7 @@
       }
       copying_.set_completed(in);
       fit(context_.acceptor->state());
-      if (!ledger_.is_complete()) return;  // out of the roster meanwhile
+      if (!ledger_.is_complete()) return;  // no longer a member
       on_whole.emit();
       LOG4CPLUS_INFO(logger_, "Keys are whole, " << ledger_.size() << " of them.");
     });
@@ -82,8 +82,7 @@
   ret_order_.push_back({r.key, now, body.size()});
   ret_bytes_ += body.size();
   std::vector<StoreOperation> old;
-  // Answers are a convenience, votes are not: answers give way long before the
-  // disk is full.
+  // Votes are needed for safety, stored answers are not: answers are deleted long before the disk is full.
   double const most = (context_.settings.diskMb > 0 ? context_.settings.diskMb : 256) * 0.3e6;
   while (!ret_order_.empty() && (now - ret_order_.front().at > context_.settings.bounds.keyHorizonS * 1.25 + 5 ||
                                  static_cast<double>(ret_bytes_) > most)) {
--- a/packages/controller/include/controller/idempotency_service.hpp
+++ b/packages/controller/include/controller/idempotency_service.hpp
@@ -1,4 +1,5 @@
-// The desk of the keys: this disk's votes on them, first answers, and filling a new disk.
+/// \file
+/// Idempotency at a controller: this disk's votes on keys, stored answers, and the backfill of a new disk.
 #pragma once
 #include <deque>
 #include <set>
@@ -8,42 +9,55 @@
 
 namespace dockbend {
 
+/// Invariants: a grant is answered only once it is on disk; a claim to another incarnation than our disk's is ignored,
+/// and one of another epoch than our accepted value's is refused; nothing is granted while the keys are incomplete.
 class IdempotencyService {
  public:
-  // filled: the membership in which the disk's keys became whole, plus one; 0: they are not.
-  // A disk that left the roster since is not whole, and no write has to say so.
+  /// filled: the number of the membership in which the disk's keys became complete (KeyBackfill::membership_id); 0:
+  /// they are not. The keys of a disk that has left the membership since are incomplete, and no write is needed to
+  /// record that.
   IdempotencyService(ControllerContext& h, u64 filled);
 
-  // A new disk copies the keys of a majority of the others before it votes.
+  /// If the keys are incomplete: asks the other members for theirs. A new disk copies those of a majority before it
+  /// votes.
   void rebuild(Seconds now);
 
+  /// A member sent its keys.
   void rebuilt(std::string const& ip, KeyCopyResponse const& r);
 
+  /// Votes on a claim over ch, once the vote is on disk. Claims to another incarnation are fenced here;
+  /// KeyTable::claim fences those of another epoch.
   void claim(ConnectionPtr const& ch, u32 tag, ClaimRequest const& c);
 
-  // A first answer goes to disk; nobody waits for it. Its first keeper hands one
-  // copy to another home disk, a near one if there is one.
+  /// Stores a first answer, without confirmation. relay: send a copy to one other controller of the answer's home
+  /// regions, of our own region if there is one.
   void store(std::string_view body, bool relay);
 
-  sigc::signal<void()> on_whole;  // our disk votes on keys from now on
+  sigc::signal<void()> on_whole;  ///< the keys are complete: our disk votes on claims from now on
 
+  /// Takes over the keys and the sizes of the stored answers that are on disk at the start.
   void load(std::vector<StoredKey> const& keys, std::vector<StoredAnswerSize> const& rets);
+  /// The holder gives the key back.
   void release(ReleaseRequest const& r);
+  /// Sends the stored answer of a key over ch, or that there is none.
   void fetch(ConnectionPtr const& ch, u32 tag, FetchAnswerRequest const& f);
+  /// All our keys, for a disk that fills itself; not ok if ours are incomplete or our epoch is older than its own.
   KeyCopyResponse copy_for(KeyCopyRequest const& q);
+  /// The committed membership has changed.
   void roster_changed();
-  // Hands our first answers to that mate, the newest first, some at each call; true once
-  // all are on their way.
+  /// Sends our stored answers to that peer, the newest first, at most 100 at each call; true once all are sent.
   bool hand_on(std::string const& ip);
+  /// Drops keys older than the horizon, 1.25 keyHorizonS + 5 s.
   void forget_old(Seconds now);
-  KeyTable const& ledger() const;
+  KeyTable const& ledger() const;  ///< this disk's keys
 
  private:
-  // The membership of our disk in that roster.
+  // The number of our disk's membership in that state (KeyBackfill::membership_id); 0: it is no member.
   u64 since_in(ReplicatedState const& s) const;
-  // Whole is what was filled in this very membership.
+  // Updates whether the keys are complete: they are if they were filled in the membership that s names.
   void fit(std::optional<ReplicatedState> const& s);
 
+  /// A stored answer.
   struct Kept {
     std::string key;
     Seconds at = 0;
@@ -54,10 +68,10 @@
   KeyTable ledger_;
   KeyBackfill copying_;
   std::deque<Kept> ret_order_;  // oldest first
-  std::size_t ret_bytes_ = 0;   // of all in it
+  std::size_t ret_bytes_ = 0;   // of all answers in ret_order_
   bool filling_ = false;
-  Epoch fit_at_{~0ULL};  // the epoch for which that was last looked at
-  std::string handing_;  // to whom our first answers go
+  Epoch fit_at_{~0ULL};  // the epoch for which fit() was last called
+  std::string handing_;  // the peer that gets our stored answers
   std::size_t hand_ix_ = 0;
   Seconds rebuild_at_ = 0;
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("controller");
--- a/packages/controller/registry_service.cpp
+++ b/packages/controller/registry_service.cpp
@@ -8,8 +8,8 @@
 
 void RegistryService::spread(std::vector<ServerRecord> const& v, std::string const& from) {
   if (v.empty()) return;
-  // On disk too, so that after a loss of all power the servers are known before
-  // their next beats. Nobody waits for it: the beats set right what it lacks.
+  // Stored too, so that after a power loss everywhere the servers are known before their next heartbeats. Not
+  // confirmed: the heartbeats correct what is missing.
   std::vector<StoreOperation> ops;
   for (ServerRecord const& r : v)
     ops.push_back(r.state == ServerState::gone ? StoreOperation::delete_server(r.id)
@@ -19,7 +19,7 @@
     pending_[r.id] = from;
   if (flushing_) return;
   flushing_ = true;
-  // Changes that come together go out together.
+  // Changes that arrive close together are sent in one message.
   after(context_.loop, 0.04, [this] { flush_rows(); });
 }
 
@@ -85,7 +85,7 @@
 }
 
 void RegistryService::feed(Connection& ch, Seconds now) {
-  // Out of contact it may lack servers: what it lacks stays with who has it.
+  // Out of contact our registry may lack servers: rows_full is false, so receivers keep what is not in it.
   if (whole_.empty() || now - whole_at_ > 1.0 || whole_in_contact_ != context_.in_contact()) {
     StateUpdate n;
     n.rows_full = whole_in_contact_ = context_.in_contact();
@@ -153,9 +153,9 @@
   flushing_ = false;
   Seconds const now = steady_now();
   bool const many = context_.peers.exceeds_full_mesh();
-  // all: for those we feed. home: for the mates of our region, or for every mate if they are
-  // few. abroad: begun here, for two mates in each other region. back: heard from a near mate;
-  // one copy goes abroad, so that no single mate is what a region hangs on.
+  // all: for the agents that we feed. home: for the peers of our region, or for every peer if there are few. abroad:
+  // reported here, for two peers in each other region. back: received from a near peer; one copy goes to another
+  // region, so that no region depends on a single peer.
   StateUpdate all, home, abroad, back;
   for (auto const& [id, from] : pending_) {
     auto r = roll_.find(id, now);
@@ -167,7 +167,7 @@
         abroad.rows.push_back(*r);
       else if (near)
         back.rows.push_back(*r);
-    } else if (from.empty()) {  // with few mates the first teller reached everyone itself
+    } else if (from.empty()) {  // with few peers the first sender reached all of them itself
       home.rows.push_back(*r);
     }
     all.rows.push_back(std::move(*r));
