--- a/packages/planning/include/planning/forecast_options.hpp
+++ b/packages/planning/include/planning/forecast_options.hpp
@@ -4,6 +4,7 @@
 
 namespace dockbend {
 
+/// Length, limits and random seed of the simulation behind a forecast.
 struct ForecastOptions {
   Seconds seconds = 20;              // simulated time that counts
   Seconds warm = 6;                  // simulated time before it, in which queues and latencies settle
--- a/packages/planning/include/planning/traffic_simulation.hpp
+++ b/packages/planning/include/planning/traffic_simulation.hpp
@@ -16,10 +16,12 @@
 
 namespace dockbend {
 
+/// A key: the zone that attempts are sent to, and their route.
 struct ZoneRoute {
   std::string zone, route;
   auto operator<=>(ZoneRoute const&) const = default;
 };
+/// A key: the servers of a service in a zone.
 struct ZoneService {
   std::string zone, service;
   auto operator<=>(ZoneService const&) const = default;
--- a/packages/planning/include/planning/traffic_survey.hpp
+++ b/packages/planning/include/planning/traffic_survey.hpp
@@ -33,7 +33,8 @@
   DB_RECORD(ServerLatency, (std::string, id), (double, lat), (double, dev), (bool, told));
 };
 
-/// How often the proxy discarded something because of a fencing token, since it began; by cause.
+/// How many server responses the proxy discarded since it began, because they did not belong to their request (see
+/// ResponseFilter); by cause.
 struct DiscardCount {
   DB_RECORD(DiscardCount, (std::string, cause), (u64, n));
 };
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -1,6 +1,7 @@
-// page: the proxy's agent. It keeps the link to the core, registers the proxy
-// with the directories, feeds it over loopback and brings its claims to a
-// majority of the core's disks.
+/// \file
+/// The program dockbend-agent, which runs beside each proxy. It keeps the links to the controllers, registers the proxy
+/// with the directories, sends it state updates over loopback, claims idempotency keys for it on a majority of the
+/// controllers' disks, and relays for agents that are cut off from the controllers.
 #include <unistd.h>
 
 #include <algorithm>
@@ -24,24 +25,25 @@
 
 namespace {
 
+/// A controller as this agent knows it.
 struct ControllerLink {
   std::unique_ptr<PeerLink> link;
   bool feeding = false;
-  ReportedContact contact;  // with a majority, as it says itself
+  ReportedContact contact;  // its contact with a majority, as it reports it
   DigestMismatchDetector off;
-  Seconds pulled = 0, beat_sent = 0, hello_sent = 0, behind = 0;  // behind: since when it names a newer manifest
-  u32 beats = 0;  // names the newest keepalive; an answer to an earlier one tells no time
+  Seconds pulled = 0, beat_sent = 0, hello_sent = 0, behind = 0;  // behind: since when its state is newer than ours
+  u32 beats = 0;  // tag of the newest heartbeat; a response to an earlier one measures no round trip
 
   double rtt = 0.1;
   std::map<std::string, u32> sites;
   Incarnation incarnation;
 };
 
-// The keepalive of the design: 5 s and three misses to begin with. Here a site's
-// machine may be gone between two breaths, and a list that still names it costs its
-// zone everything, so it is shorter.
+// Seconds between two heartbeats. The design begins with 5 s and three misses; it is shorter here because a proxy's
+// machine may fail at any moment, and a client list that still names it costs its zone all requests.
 Seconds const keepalive_s = 0.6;
 
+/// Invariants: the state never goes back to an earlier ballot; one proxy connection is served at a time, the newest.
 class Agent {
  public:
   Agent(event_base* loop, Settings const& st)
@@ -75,13 +77,13 @@
   }
 
  private:
-  // ---- mates -------------------------------------------------------------------
+  // ---- controllers ---------------------------------------------------------------
   ControllerLink& mate(std::string const& ip) {
     auto const it = controllers_.find(ip);
     if (it != controllers_.end()) return it->second;
     ControllerLink& m = controllers_[ip];
     m.link = std::make_unique<PeerLink>(loop_, Address{ip, st_.innerFirst}, 1.0,
-                                        1.5);  // our keepalives are answered, so pings are rare
+                                        1.5);  // our heartbeats are answered, so pings are rare
     m.link->relays([this] { return relays_; });
     m.link->on_up.connect([this, ip](PeerLink& l) {
       HandshakeRequest h;
@@ -109,7 +111,7 @@
       say_claims();
       if (ip == primary_) {
         primary_.clear();
-        tally_all_ = true;  // whoever told the others of our counts may have lost them
+        tally_all_ = true;  // the usage counts that it was sent may be lost with it
         feeds();
         beat_all();
       }
@@ -142,7 +144,7 @@
     m.beat_sent = steady_now();
     m.link->send(MessageType::proxy_heartbeat, ++m.beats, b);
   }
-  // The site registers with the directories that feed it; the nearest tells the rest.
+  // The proxy is registered with the directories that send us updates; the nearest one, its primary, passes it on.
   void beat_all() {
     for (auto& [ip, m] : controllers_)
       if (m.feeding && m.link->up()) beat(ip, m);
@@ -173,7 +175,7 @@
           if (r.wall > 0) clock_.on_peer_reading(ip, now - 0.5 * (now - m.beat_sent), r.wall);
         }
         m.contact.update(r.in_contact, now);
-        if (!r.sites.empty()) {  // said only when it changed
+        if (!r.sites.empty()) {  // sent only if it has changed
           m.sites.clear();
           for (ZoneProxyCount const& z : r.sites)
             m.sites[z.zone] = z.n;
@@ -184,14 +186,14 @@
           for (std::string const& x : r.relays)
             if (is_ip(x)) relays_.push_back(Address{x, st_.relay()});
         }
-        // Orders out of contact may be old.
+        // An instruction from a controller out of contact may be old.
         if (ip == primary_ && r.in_contact &&
             (r.drain.stage != said_.stage || r.drain.incarnation != said_.incarnation)) {
           said_ = r.drain;
           if (proxy_) proxy_->send(MessageType::drain_instruction, 0, said_);
         }
-        // News comes by itself. Only who stays behind asks, for what it lacks.
-        // Who has nothing takes what may be old only if nobody has had better for a while.
+        // Updates are pushed; only an agent that stays behind asks for what it lacks. An agent without a state asks a
+        // controller out of contact only after applyBoundS, for that state may be old.
         bool const late = have_ ? r.ballot > state_.ballot : r.in_contact || now - start_ > st_.bounds.applyBoundS;
         if (!late) {
           m.behind = 0;
@@ -232,7 +234,7 @@
         say_claims();
         break;
       case MessageType::stage_request: {
-        // The proxy says whether it holds it; without a proxy nobody answers.
+        // The proxy responds whether it has staged the change; without a proxy there is no response.
         StageRequest const h = l.as<StageRequest>();
         if (proxy_) proxy_->send(MessageType::stage_request, 0, l.body);
         if (h.drop)
@@ -274,7 +276,7 @@
     }
   }
 
-  // Takes what a majority holds; a node never steps back.
+  // Takes a committed state over if it is newer.
   void take(ReplicatedState s, StateDelta const* d = nullptr) {
     if (have_ && s.ballot <= state_.ballot) return;
     state_ = std::move(s);
@@ -315,7 +317,7 @@
     tell_sites();
   }
 
-  // The whole at first, then what changed.
+  // Sends the proxy the complete state at first, then the differences.
   void tell_state(StateDelta const* d) {
     if (!proxy_ || !have_) return;
     StateUpdate n;
@@ -348,7 +350,7 @@
     c.wall = clock_.wall_time_at(steady_now());
     proxy_->send(MessageType::clock_reading, 0, c);
   }
-  // Counts go to the nearest directory, which brings them to the node that reports.
+  // Usage counts go to the primary, which forwards them to the holder of the usage lease.
   void tell_tally(Seconds now) {
     if (now - tallied_ < 0.5 || primary_.empty()) return;
     tallied_ = now;
@@ -356,7 +358,7 @@
     tally_all_ = false;
     if (!n.rows.empty()) controllers_[primary_].link->send(MessageType::usage_update, 0, n);
   }
-  // The most that any directory counts in a zone: who knows less is more careful.
+  // Proxies by zone, the highest count of any controller: a proxy that counts more proxies takes a smaller share.
   void tell_sites() {
     std::map<std::string, u32> mx;
     for (auto const& [ip, m] : controllers_)
@@ -408,7 +410,7 @@
         break;
       }
       case MessageType::survey_response:
-        // To whoever asked this one; another may ask meanwhile.
+        // To the controller that requested this survey; another one may have requested one meanwhile.
         if (auto const it = surveyed_by_.find(l.as<TrafficSurvey>().id); it != surveyed_by_.end())
           if (ControllerLink& m = controllers_[it->second.first]; m.link->up())
             m.link->ch()->send(MessageType::survey_response, l.tag, l.body);
@@ -425,7 +427,7 @@
     }
   }
 
-  // ---- keys: what the claims want sent -----------------------------------------------
+  // ---- keys: what ClaimCoordinator hands out to be sent ------------------------------
   void say_claims() {
     for (ClaimAction const& x : claims_.take_actions())
       std::visit([this](auto const& y) { say(y); }, x);
@@ -439,7 +441,7 @@
   void say(SendFetch const& x) { to_disk(x.to, MessageType::fetch_answer_request, x.tag, x.fetch); }
   void say(SendStore const& x) {
     if (Connection* const c = controllers_[x.to].link->ch(); c != nullptr)
-      c->send(MessageType::store_answer, 1, std::string_view(x.answer));  // it sees to the second copy
+      c->send(MessageType::store_answer, 1, std::string_view(x.answer));  // tag 1: it sends the second copy on
   }
   void say(SendCatchUp const& x) {
     ControllerLink& m = controllers_[x.to];
@@ -481,8 +483,8 @@
       beat_all();
       for (auto* const l : {&held_by_, &surveyed_by_})
         std::erase_if(*l, [&](auto const& x) { return x.second.second < now; });
-      // Who feeds us says so with each keepalive; who was out of contact is asked. Near ones
-      // hear our keepalive: clients that reach them may ask them where we are.
+      // Controllers that send us updates report their contact in each heartbeat response; others that were out of
+      // contact are asked. The nearest get a heartbeat for it: clients that reach them may ask them for proxies.
       std::vector<std::string> const nearest = feeders(false);
       for (auto& [ip, m] : controllers_) {
         if (!m.link->up() || m.feeding || !m.contact.is_out()) continue;
@@ -507,8 +509,8 @@
     return select_controllers(std::move(up), 2);
   }
 
-  // Wanted: the two nearest directories that are in contact feed us, and the nearest is our
-  // primary. The loop works out the rest.
+  // Goal: the two nearest controllers that are in contact send us updates, and the nearest is our primary. Subscribes
+  // and unsubscribes accordingly.
   void feeds() {
     std::vector<std::string> const two = feeders(true);
     std::set<std::string> const want(two.begin(), two.end());
@@ -535,24 +537,24 @@
   ConnectionPtr proxy_;
   ReplicatedState state_;
   bool have_ = false, ready_ = false, draining_ = false, rows_all_ = true, tally_all_ = false;
-  std::set<std::string> rows_dirty_;  // rows that the proxy has yet to hear of
-  std::optional<Ballot> told_bal_;    // what the proxy has on this channel
+  std::set<std::string> rows_dirty_;  // ids of server records that the proxy has yet to be sent
+  std::optional<Ballot> told_bal_;    // ballot of the state last sent to the proxy over this connection
   std::string primary_;
-  std::unique_ptr<Relay> relay_;  // for mates that are cut off from the core
-  std::vector<Address> relays_;   // mates that would do as much for us
+  std::unique_ptr<Relay> relay_;  // for agents that are cut off from the controllers
+  std::vector<Address> relays_;   // agents that can relay for us
   MedianClock clock_;
-  UsageTotals totals_;  // what our proxy counted and nobody reported yet
+  UsageTotals totals_;  // what our proxy counted and is not in a frozen report yet
   Seconds clock_told_ = 0, tallied_ = 0, measured_ = 0;
   double load_ = 0;
-  DrainInstruction said_;  // what our primary says of a drain
-  ProxyDrainStatus word_;  // what the proxy says of it
-  std::string front_;      // where the clients find the proxy, as it says itself
+  DrainInstruction said_;  // our primary's drain instruction
+  ProxyDrainStatus word_;  // the proxy's own drain status
+  std::string front_;      // address that clients connect to, as the proxy reports it
   Seconds start_ = steady_now(), proxy_heard_ = 0, last_beat_ = 0, drain_at_ = 0, last_tick_ = 0, bad_at_ = 0;
   ServerRegistry roll_;
   std::map<std::string, u32> sites_told_;
   ClaimCoordinator<> claims_;
-  std::map<u64, std::pair<std::string, Seconds>> held_by_;      // rollouts held: who asked, until when
-  std::map<u64, std::pair<std::string, Seconds>> surveyed_by_;  // the same of surveys
+  std::map<u64, std::pair<std::string, Seconds>> held_by_;      // staged changes by rollout: who asked, until when
+  std::map<u64, std::pair<std::string, Seconds>> surveyed_by_;  // the same for surveys
   log4cplus::Logger logger_ = log4cplus::Logger::getInstance("agent");
 };
 
