--- a/packages/load_generation/include/load_generation/report_rendering.hpp
+++ b/packages/load_generation/include/load_generation/report_rendering.hpp
@@ -11,14 +11,14 @@
 /// The results of one kind of request.
 struct KindReport {
   std::string name;
-  Tally tally;
+  KindResults results;
 };
 
 /// What one tenant was granted, against its budget.
 struct BudgetReport {
   std::string token;
   double burst = 0;  // requests
-  Granted granted{0};
+  BudgetUsage usage{0};
 };
 
 /// The results of a whole load.
--- a/packages/load_generation/load_report.cpp
+++ b/packages/load_generation/load_report.cpp
@@ -6,82 +6,107 @@
 
 namespace dockbend {
 namespace {
-double const least = 1e-5, grow = 1.02;
-}
 
-LoadKind parse_kind(std::string const& s) {
-  std::vector<std::string> p{""};
-  for (char const c : s) {
-    if (c == ':')
-      p.emplace_back();
+Seconds constexpr kLeastLatency = 1e-5;
+double constexpr kBucketGrowth = 1.02;
+Seconds constexpr kLateAfter = 0.01;
+double constexpr kMostNumber = 1e6;
+std::size_t constexpr kLeastFields = 4, kMostFields = 7;
+/// The places of a kind's fields.
+enum Field : std::size_t { kName, kMethod, kPath, kRate, kBodyBytes, kKeyed, kToken };
+
+std::vector<std::string> split_fields(std::string const& text) {
+  std::vector<std::string> fields{""};
+  for (char const letter : text) {
+    if (letter == ':')
+      fields.emplace_back();
     else
-      p.back() += c;
+      fields.back() += letter;
   }
-  if (p.size() < 4 || p.size() > 7)
-    throw BadLoad("--kind: wants NAME:METHOD:PATH:RATE[:BODYBYTES[:keyed[:TOKEN]]], not '" + s + "'");
-  LoadKind k;
-  k.name = p[0];
-  k.method = p[1];
-  k.path = p[2];
-  auto number = [&](std::string const& v, char const* what) {
-    char* end = nullptr;
-    double const d = std::strtod(v.c_str(), &end);
-    if (v.empty() || *end != '\0' || !(d >= 0) || d > 1e6)
-      throw BadLoad(std::string("--kind: ") + what + ": not a fitting number: '" + v + "'");
-    return d;
-  };
-  if (k.name.empty()) throw BadLoad("--kind: NAME: empty");
-  if (k.method != "GET" && k.method != "POST" && k.method != "PUT")
-    throw BadLoad("--kind: METHOD: GET, POST or PUT, not '" + k.method + "'");
-  if (k.path.empty() || k.path[0] != '/') throw BadLoad("--kind: PATH: wants a slash at its start");
-  k.rate = number(p[3], "RATE");
-  if (k.rate <= 0) throw BadLoad("--kind: RATE: wants more than 0");
-  if (p.size() > 4 && !(p.size() > 5 && p[4].empty())) k.body = static_cast<std::size_t>(number(p[4], "BODYBYTES"));
-  if (k.body > 0 && k.method == "GET") throw BadLoad("--kind: BODYBYTES: a GET carries none");
-  if (p.size() > 6) k.token = p[6];
-  if (p.size() > 5 && !(p.size() > 6 && p[5].empty())) {
-    if (p[5] != "keyed") throw BadLoad("--kind: the sixth part can only be 'keyed'");
-    k.keyed = true;
+  return fields;
+}
+
+double read_number(std::string const& text, char const* field) {
+  char* end = nullptr;
+  double const number = std::strtod(text.c_str(), &end);
+  if (text.empty() || *end != '\0' || !(number >= 0) || number > kMostNumber)
+    throw LoadOptionError(std::string("--kind: ") + field + ": not a fitting number: '" + text + "'");
+  return number;
+}
+
+void check_request_line(LoadKind const& kind) {
+  if (kind.name.empty()) throw LoadOptionError("--kind: NAME: empty");
+  if (kind.method != "GET" && kind.method != "POST" && kind.method != "PUT")
+    throw LoadOptionError("--kind: METHOD: GET, POST or PUT, not '" + kind.method + "'");
+  if (kind.path.empty() || kind.path[0] != '/') throw LoadOptionError("--kind: PATH: wants a slash at its start");
+}
+
+/// Whether an optional field is given. It may be empty only if another follows.
+bool is_given(std::vector<std::string> const& fields, Field field) {
+  return fields.size() > field && !(fields.size() > field + 1 && fields[field].empty());
+}
+
+}  // namespace
+
+LoadKind parse_kind(std::string const& text) {
+  std::vector<std::string> const fields = split_fields(text);
+  if (fields.size() < kLeastFields || fields.size() > kMostFields)
+    throw LoadOptionError("--kind: wants NAME:METHOD:PATH:RATE[:BODYBYTES[:keyed[:TOKEN]]], not '" + text + "'");
+  LoadKind kind;
+  kind.name = fields[kName];
+  kind.method = fields[kMethod];
+  kind.path = fields[kPath];
+  check_request_line(kind);
+  kind.rate = read_number(fields[kRate], "RATE");
+  if (kind.rate <= 0) throw LoadOptionError("--kind: RATE: wants more than 0");
+  if (is_given(fields, kBodyBytes)) kind.body = static_cast<std::size_t>(read_number(fields[kBodyBytes], "BODYBYTES"));
+  if (kind.body > 0 && kind.method == "GET") throw LoadOptionError("--kind: BODYBYTES: a GET carries none");
+  if (fields.size() > kToken) kind.token = fields[kToken];
+  if (is_given(fields, kKeyed)) {
+    if (fields[kKeyed] != "keyed") throw LoadOptionError("--kind: the sixth part can only be 'keyed'");
+    kind.keyed = true;
   }
-  return k;
+  return kind;
 }
 
 Seconds Arrivals::next() {
-  double const u = (static_cast<double>(next64(s_) >> 11) + 0.5) * 0x1.0p-53;
-  at_ += -std::log(u) / rate_;
-  return at_;
+  double const uniform = (static_cast<double>(next64(random_state_) >> 11) + 0.5) * 0x1.0p-53;  // 0 < uniform < 1
+  last_ += -std::log(uniform) / rate_;
+  return last_;
 }
 
-void Times::add(Seconds due, Seconds done) {
-  Seconds const t = std::max(0.0, done - due);
-  auto const i = static_cast<std::size_t>(t <= least ? 0 : std::log(t / least) / std::log(grow));
-  if (b_.size() <= i) b_.resize(i + 1);
-  ++b_[i];
-  ++n_;
-  most_ = std::max(most_, t);
+void LatencyHistogram::add(Seconds due_at, Seconds done_at) {
+  Seconds const latency = std::max(0.0, done_at - due_at);
+  auto const bucket = static_cast<std::size_t>(
+      latency <= kLeastLatency ? 0 : std::log(latency / kLeastLatency) / std::log(kBucketGrowth));
+  if (buckets_.size() <= bucket) buckets_.resize(bucket + 1);
+  ++buckets_[bucket];
+  ++count_;
+  most_ = std::max(most_, latency);
 }
 
-Seconds Times::quantile(double q) const {
-  if (n_ == 0) return 0;
-  auto const want = static_cast<u64>(std::ceil(q * static_cast<double>(n_)));
+Seconds LatencyHistogram::quantile(double share) const {
+  if (count_ == 0) return 0;
+  auto const wanted = std::max<u64>(static_cast<u64>(std::ceil(share * static_cast<double>(count_))), 1);
   u64 seen = 0;
-  for (std::size_t i = 0; i < b_.size(); ++i) {
-    seen += b_[i];
-    if (seen >= std::max<u64>(want, 1)) return std::min(most_, least * std::pow(grow, static_cast<double>(i) + 0.5));
+  for (std::size_t bucket = 0; bucket < buckets_.size(); ++bucket) {
+    seen += buckets_[bucket];
+    Seconds const middle = kLeastLatency * std::pow(kBucketGrowth, static_cast<double>(bucket) + 0.5);
+    if (seen >= wanted) return std::min(most_, middle);
   }
   return most_;
 }
 
-void Tally::add(Seconds due_at, Seconds sent_at, Seconds done_at, int code) {
+void KindResults::add(Seconds due_at, Seconds sent_at, Seconds done_at, int code) {
   ++due;
-  if (sent_at - due_at > 0.01) ++late;
+  if (sent_at - due_at > kLateAfter) ++late;
   ++codes[code];
   if (code >= 200 && code < 300) times.add(due_at, done_at);
 }
 
-void Granted::add(Seconds at) {
-  if (at_ >= 0 && at > at_) level_ = std::max(0.0, level_ - (at - at_) * rate_);
-  at_ = std::max(at_, at);
+void BudgetUsage::add(Seconds granted_at) {
+  if (last_at_ >= 0 && granted_at > last_at_) level_ = std::max(0.0, level_ - (granted_at - last_at_) * rate_);
+  last_at_ = std::max(last_at_, granted_at);
   level_ += 1;
   worst_ = std::max(worst_, level_);
 }
--- a/packages/load_generation/report_rendering.cpp
+++ b/packages/load_generation/report_rendering.cpp
@@ -26,9 +26,9 @@
 }
 
 /// "200:12 503:1"; a request without an answer counts under "none".
-std::string answers_as_text(Tally const& tally) {
+std::string answers_as_text(KindResults const& results) {
   std::string text;
-  for (auto const& [code, count] : tally.codes) {
+  for (auto const& [code, count] : results.codes) {
     if (!text.empty()) text += ' ';
     text += (code == 0 ? std::string("none") : std::to_string(code)) + ":" + std::to_string(count);
   }
@@ -36,40 +36,40 @@
 }
 
 std::string kind_as_text(KindReport const& kind) {
-  Tally const& tally = kind.tally;
-  auto const quantile = [&](double share) { return tally.times.quantile(share) * kMillisecondsPerSecond; };
+  KindResults const& results = kind.results;
+  auto const quantile = [&](double share) { return results.times.quantile(share) * kMillisecondsPerSecond; };
   return formatted("%-14s %8llu %8llu %6llu %9.1f %9.1f %9.1f %9.1f  %s\n", kind.name.c_str(),
-                   static_cast<unsigned long long>(tally.due), static_cast<unsigned long long>(tally.times.count()),
-                   static_cast<unsigned long long>(tally.late), quantile(0.5), quantile(0.9), quantile(0.99),
-                   tally.times.most() * kMillisecondsPerSecond, answers_as_text(tally).c_str());
+                   static_cast<unsigned long long>(results.due), static_cast<unsigned long long>(results.times.count()),
+                   static_cast<unsigned long long>(results.late), quantile(0.5), quantile(0.9), quantile(0.99),
+                   results.times.most() * kMillisecondsPerSecond, answers_as_text(results).c_str());
 }
 
 std::string budget_as_text(BudgetReport const& budget) {
-  double const worst = budget.granted.worst();
+  double const worst = budget.usage.worst();
   return formatted("budget %s: at most %.0f over rate x time; the burst is %.0f: %s\n", budget.token.c_str(), worst,
                    budget.burst, worst <= budget.burst ? "held" : "BROKEN");
 }
 
 void write_kind(JsonWriter& writer, KindReport const& kind) {
-  Tally const& tally = kind.tally;
+  KindResults const& results = kind.results;
   writer.StartObject();
   writer.Key("kind");
   writer.String(kind.name.c_str());
   writer.Key("due");
-  writer.Uint64(tally.due);
+  writer.Uint64(results.due);
   writer.Key("good");
-  writer.Uint64(tally.times.count());
+  writer.Uint64(results.times.count());
   writer.Key("late");
-  writer.Uint64(tally.late);
+  writer.Uint64(results.late);
   for (auto const& [name, share] : {std::pair{"p50Ms", 0.5}, {"p90Ms", 0.9}, {"p99Ms", 0.99}, {"p999Ms", 0.999}}) {
     writer.Key(name);
-    writer.Double(tally.times.quantile(share) * kMillisecondsPerSecond);
+    writer.Double(results.times.quantile(share) * kMillisecondsPerSecond);
   }
   writer.Key("mostMs");
-  writer.Double(tally.times.most() * kMillisecondsPerSecond);
+  writer.Double(results.times.most() * kMillisecondsPerSecond);
   writer.Key("answers");
   writer.StartObject();
-  for (auto const& [code, count] : tally.codes) {
+  for (auto const& [code, count] : results.codes) {
     writer.Key(std::to_string(code).c_str());
     writer.Uint64(count);
   }
@@ -82,7 +82,7 @@
   writer.Key("token");
   writer.String(budget.token.c_str());
   writer.Key("mostOverRate");
-  writer.Double(budget.granted.worst());
+  writer.Double(budget.usage.worst());
   writer.Key("burst");
   writer.Double(budget.burst);
   writer.EndObject();
@@ -93,7 +93,7 @@
 u64 LoadReport::successes() const {
   u64 sum = 0;
   for (KindReport const& kind : kinds)
-    sum += kind.tally.times.count();
+    sum += kind.results.times.count();
   return sum;
 }
 
--- a/packages/load_generator/include/load_generator/load_clients.hpp
+++ b/packages/load_generator/include/load_generator/load_clients.hpp
@@ -37,7 +37,7 @@
   struct KindState {
     LoadKind kind;
     Arrivals arrivals;
-    Tally tally;
+    KindResults results;
   };
   struct Proxy {
     Address address;
@@ -76,7 +76,7 @@
   std::vector<std::unique_ptr<KindState>> kinds_;
   std::vector<Proxy> proxies_;
   std::size_t proxy_turn_ = 0;
-  std::map<std::string, Granted> granted_;  // by token, of the tenants that have a budget
+  std::map<std::string, BudgetUsage> budget_usage_;  // by token, of the tenants that have a budget
   std::map<Call*, std::unique_ptr<Call>> calls_;
   std::size_t opened_connections_ = 0;
   std::size_t arriving_kinds_ = 0;  // kinds of which further requests arrive
--- a/packages/load_generator/load_clients.cpp
+++ b/packages/load_generator/load_clients.cpp
@@ -44,7 +44,7 @@
   for (Address const& address : options_.proxies)
     proxies_.push_back(Proxy{address, {}, 0, kNoEnd});
   for (BudgetOption const& budget : options_.budgets)
-    granted_.emplace(budget.token, Granted(budget.rate));
+    budget_usage_.emplace(budget.token, BudgetUsage(budget.rate));
   for (LoadKind const& kind : options_.kinds) {
     Arrivals const arrivals(kind.rate, options_.seed * kArrivalSeedsPerSeed + kinds_.size());
     kinds_.push_back(std::make_unique<KindState>(KindState{kind, arrivals, {}}));
@@ -180,10 +180,10 @@
 
 void LoadClients::finish(Call* call, int code, Seconds now) {
   KindState& kind = *call->kind;
-  kind.tally.add(call->due_at, call->sent_at, now, code);
+  kind.results.add(call->due_at, call->sent_at, now, code);
   if (code == kNoAnswer && call->proxy < proxies_.size()) proxies_[call->proxy].avoided_until = now + kProxyAvoidance;
   if (is_success(code))
-    if (auto const granted = granted_.find(kind.kind.token); granted != granted_.end()) granted->second.add(now);
+    if (auto const usage = budget_usage_.find(kind.kind.token); usage != budget_usage_.end()) usage->second.add(now);
   calls_.erase(call);
   end_loop_if_done();
 }
@@ -196,9 +196,9 @@
   LoadReport report;
   report.opened_connections = opened_connections_;
   for (auto const& kind : kinds_)
-    report.kinds.push_back({kind->kind.name, kind->tally});
+    report.kinds.push_back({kind->kind.name, kind->results});
   for (BudgetOption const& budget : options_.budgets)
-    report.budgets.push_back({budget.token, budget.burst, granted_.at(budget.token)});
+    report.budgets.push_back({budget.token, budget.burst, budget_usage_.at(budget.token)});
   return report;
 }
 
--- a/packages/load_generator/options.cpp
+++ b/packages/load_generator/options.cpp
@@ -34,19 +34,19 @@
                            {"version", no_argument, nullptr, 'v'},
                            {nullptr, 0, nullptr, 0}};
 
-/// @throws BadLoad that names `what` if the text is no number from `least` to `most`
+/// @throws LoadOptionError that names `what` if the text is no number from `least` to `most`
 double read_number(std::string const& text, char const* what, double least, double most) {
   char* end = nullptr;
   double const number = std::strtod(text.c_str(), &end);
   if (text.empty() || *end != '\0' || !(number >= least) || number > most)
-    throw BadLoad(std::string(what) + ": not a fitting number: '" + text + "'");
+    throw LoadOptionError(std::string(what) + ": not a fitting number: '" + text + "'");
   return number;
 }
 
 ClientPlace read_place(std::string const& text) {
   auto const colon = text.find(':');
   if (colon == std::string::npos || colon == 0 || colon + 1 == text.size())
-    throw BadLoad("--from: wants ZONE:REGION, not '" + text + "'");
+    throw LoadOptionError("--from: wants ZONE:REGION, not '" + text + "'");
   return {text.substr(0, colon), text.substr(colon + 1)};
 }
 
@@ -54,7 +54,7 @@
   auto const equals = text.find('=');
   auto const colon = text.find(':', equals == std::string::npos ? 0 : equals);
   if (equals == std::string::npos || colon == std::string::npos)
-    throw BadLoad("--budget: wants TOKEN=RATE:BURST, not '" + text + "'");
+    throw LoadOptionError("--budget: wants TOKEN=RATE:BURST, not '" + text + "'");
   double const rate = read_number(text.substr(equals + 1, colon - equals - 1), "--budget: RATE", 0.001, 1e9);
   return {text.substr(0, equals), rate, read_number(text.substr(colon + 1), "--budget: BURST", 1, 1e9)};
 }
--- a/tests/load_generation/report_rendering_test.cpp
+++ b/tests/load_generation/report_rendering_test.cpp
@@ -10,14 +10,14 @@
   LoadReport report;
   report.opened_connections = 3;
   report.kinds.push_back({"read", {}});
-  report.kinds[0].tally.add(0, 0, 0.25, 200);
-  report.kinds[0].tally.add(0, 0.5, 1, 503);
-  report.kinds[0].tally.add(0, 0, 2, 0);
-  report.budgets.push_back({"t1", 1, Granted(1)});
-  report.budgets.push_back({"t2", 1, Granted(1)});
-  report.budgets[0].granted.add(0);
-  report.budgets[1].granted.add(0);
-  report.budgets[1].granted.add(0);
+  report.kinds[0].results.add(0, 0, 0.25, 200);
+  report.kinds[0].results.add(0, 0.5, 1, 503);
+  report.kinds[0].results.add(0, 0, 2, 0);
+  report.budgets.push_back({"t1", 1, BudgetUsage(1)});
+  report.budgets.push_back({"t2", 1, BudgetUsage(1)});
+  report.budgets[0].usage.add(0);
+  report.budgets[1].usage.add(0);
+  report.budgets[1].usage.add(0);
   return report;
 }
 
