--- a/packages/hollow_nodes/change_cost.cpp
+++ b/packages/hollow_nodes/change_cost.cpp
@@ -1,8 +1,7 @@
 #include "hollow_nodes/change_cost.hpp"
 
-#include <stdlib.h>
-
 #include <algorithm>
+#include <cstdlib>
 #include <filesystem>
 #include <functional>
 #include <memory>
@@ -46,7 +45,7 @@
 struct BlockingVoteDisk {
   DiskStore& store;
 
-  void write_vote(VoteWrite vote, std::function<void(bool)> done) {
+  void write_vote(VoteWrite vote, std::function<void(bool)> const& done) {
     DiskStore::Write write;
     write.vote = std::move(vote);
     store.commit({&write});
--- a/packages/load_generation/load_report.cpp
+++ b/packages/load_generation/load_report.cpp
@@ -13,7 +13,7 @@
 double constexpr kMostNumber = 1e6;
 std::size_t constexpr kLeastFields = 4, kMostFields = 7;
 /// The places of a kind's fields.
-enum Field : std::size_t { kName, kMethod, kPath, kRate, kBodyBytes, kKeyed, kToken };
+std::size_t constexpr kName = 0, kMethod = 1, kPath = 2, kRate = 3, kBodyBytes = 4, kKeyed = 5, kToken = 6;
 
 std::vector<std::string> split_fields(std::string const& text) {
   std::vector<std::string> fields{""};
@@ -42,7 +42,7 @@
 }
 
 /// Whether an optional field is given. It may be empty only if another follows.
-bool is_given(std::vector<std::string> const& fields, Field field) {
+bool is_given(std::vector<std::string> const& fields, std::size_t field) {
   return fields.size() > field && !(fields.size() > field + 1 && fields[field].empty());
 }
 
--- a/packages/load_generator/include/load_generator/single_requests.hpp
+++ b/packages/load_generator/include/load_generator/single_requests.hpp
@@ -52,7 +52,7 @@
 
  private:
   struct Pending {
-    SingleRequests* owner;
+    SingleRequests* owner = nullptr;
     HttpConnectionOwner connection;
     AnswerHandler on_answer;
   };
