--- a/tests/package_list.sh
+++ b/tests/package_list.sh
@@ -21,7 +21,7 @@
     --no-enhances $deploy | sed -n 's/^\([a-z0-9][^ :]*\).*/\1/p' | sort -u
 )
 # System files that the compiler read for the product's sources (the tests' own objects left out).
-headers=$(ninja -C "$build" -t deps | sed -n '/^tests\//,/^$/d; s/^    \(\/usr\/.*\)$/\1/p' | xargs -r -n1 realpath | sort -u)
+headers=$(ninja -C "$build" -t deps | sed -n '/^tests\//,/^$/d; s/^    \(\/usr\/.*\)$/\1/p' | sort -u | xargs -r realpath | sort -u)
 [ -n "$headers" ] || { echo "no dependencies recorded in $build" >&2; exit 1; }
 tools=$(for tool in cmake make ninja g++ pkg-config; do realpath "$(command -v $tool)"; done)
 missing=0
