--- a/tests/golden/control_api.sh
+++ b/tests/golden/control_api.sh
@@ -17,8 +17,8 @@
   rm -rf "$work"
 }
 trap end EXIT
-control=127.0.0.1:38146
-shift_ports="s|8146|38146|g; s|8143|38143|g; s|8144|38144|g; s|8140|38140|g; s|^innerPorts=.*|innerPorts=27760,27775|"
+control=127.0.0.1:26146
+shift_ports="s|8146|26146|g; s|8143|26143|g; s|8144|26144|g; s|8140|26140|g; s|^innerPorts=.*|innerPorts=27760,27775|"
 sed "s|^dataDir=.*|dataDir=$work/data|; $shift_ports" docs/example/core.conf > "$work/core.conf"
 sed "$shift_ports" docs/example/edge.conf > "$work/edge.conf"
 DOCKBEND_SETTINGS=$work/core.conf "$bin/dockbend-controller" > "$work/controller.log" 2>&1 & pids+=($!)
