--- a/packages/controller/include/controller/membership_service.hpp
+++ b/packages/controller/include/controller/membership_service.hpp
@@ -1,8 +1,5 @@
 /// Joining and leaving the membership, and replacing members that are gone.
 #pragma once
-#include <rapidjson/stringbuffer.h>
-#include <rapidjson/writer.h>
-
 #include <memory>
 #include <optional>
 #include <string>
@@ -10,6 +7,7 @@
 #include "consensus/failure_margin.hpp"
 #include "consensus/membership_monitor.hpp"
 #include "controller/idempotency_service.hpp"
+#include "controller/json_writer.hpp"
 
 namespace dockbend {
 
@@ -18,8 +16,6 @@
 /// otherwise.
 class MembershipService {
  public:
-  using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-
   MembershipService(ControllerContext& context, IdempotencyService& idempotency, Seconds now);
 
   void tick(Seconds now);
@@ -40,7 +36,7 @@
   void add(evhttp_request* request, std::string const& ip);
 
   /// Writes "members", "removed" and "bears" of the status report.
-  void write_members(Writer& writer) const;
+  void write_members(JsonWriter& json) const;
 
  private:
   static MembershipMonitorOptions monitor_options(Bounds const& bounds);
@@ -48,7 +44,7 @@
   FailureTolerance tolerance() const;
   Member const* own_entry() const;
   char const* state_name(Member const& member) const;
-  void write_member(Writer& writer, Member const& member, Seconds now) const;
+  void write_entry(JsonWriter& json, Member const& member, Seconds now) const;
 
   void on_membership_changed(Seconds now);
   std::string admitting_member() const;
--- a/packages/controller/include/controller/status_report.hpp
+++ b/packages/controller/include/controller/status_report.hpp
@@ -1,9 +1,9 @@
 /// The answer to GET /-/Status.
 #pragma once
-#include <rapidjson/stringbuffer.h>
-#include <rapidjson/writer.h>
+#include <string>
 
 #include "controller/controller_services.hpp"
+#include "controller/json_writer.hpp"
 
 namespace dockbend {
 
@@ -15,16 +15,14 @@
   std::string render() const;
 
  private:
-  using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-
-  void write_contact(Writer& writer) const;
-  void write_consensus(Writer& writer) const;
-  void write_rejected_input(Writer& writer) const;
-  void write_unmatched(Writer& writer) const;
-  void write_items(Writer& writer) const;
-  void write_evacuations(Writer& writer) const;
-  void write_servers(Writer& writer) const;
-  void write_proxies(Writer& writer) const;
+  void write_contact(JsonWriter& json) const;
+  void write_consensus(JsonWriter& json) const;
+  void write_rejected_input(JsonWriter& json) const;
+  void write_unmatched(JsonWriter& json) const;
+  void write_items(JsonWriter& json) const;
+  void write_evacuations(JsonWriter& json) const;
+  void write_servers(JsonWriter& json) const;
+  void write_proxies(JsonWriter& json) const;
 
   ControllerServices services_;
   ControllerContext const& context_;
--- a/packages/controller/membership_service.cpp
+++ b/packages/controller/membership_service.cpp
@@ -287,12 +287,7 @@
 }
 
 std::string MembershipService::list() const {
-  rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
-  writer.StartObject();
-  write_members(writer);
-  writer.EndObject();
-  return std::string(buffer.GetString(), buffer.GetSize());
+  return json_object([this](JsonWriter& json) { write_members(json); });
 }
 
 char const* MembershipService::state_name(Member const& member) const {
@@ -300,51 +295,37 @@
   return !context_.peers.is_up(member.ip) ? "silent" : member.whole ? "whole" : "catching up";
 }
 
-void MembershipService::write_members(Writer& writer) const {
+void MembershipService::write_members(JsonWriter& json) const {
   Seconds const now = steady_now();
-  writer.Key("members");
-  writer.StartArray();
-  if (context_.committed)
+  write_array(json, "members", [&] {
+    if (!context_.committed) return;
     for (Member const& member : context_.committed->membership)
-      write_member(writer, member, now);
-  writer.EndArray();
-  writer.Key("removed");
-  writer.StartArray();
-  if (context_.committed)
+      write_object(json, [&] { write_entry(json, member, now); });
+  });
+  write_array(json, "removed", [&] {
+    if (!context_.committed) return;
     for (RetiredMember const& retired : context_.committed->retired)
-      writer.String(retired.ip.c_str());
-  writer.EndArray();
-  writer.Key("bears");
-  writer.StartObject();
-  if (context_.committed) {
+      json.String(retired.ip.c_str());
+  });
+  json.Key("bears");
+  write_object(json, [&] {
+    if (!context_.committed) return;
     FailureMargin const margin = failure_margin(*context_.committed, tolerance());
-    writer.Key("machines");
-    writer.Bool(margin.machines >= 0);
-    writer.Key("zones");
-    writer.Bool(margin.zones >= 0);
-    writer.Key("regions");
-    writer.Bool(margin.regions >= 0);
-  }
-  writer.EndObject();
+    write_member(json, "machines", margin.machines >= 0);
+    write_member(json, "zones", margin.zones >= 0);
+    write_member(json, "regions", margin.regions >= 0);
+  });
 }
 
-void MembershipService::write_member(Writer& writer, Member const& member, Seconds now) const {
-  writer.StartObject();
-  writer.Key("address");
-  writer.String(member.ip.c_str());
-  writer.Key("zone");
-  writer.String(member.zone.c_str());
-  writer.Key("region");
-  writer.String(member.region.c_str());
-  writer.Key("up");
-  writer.Bool(context_.peers.is_up(member.ip));
-  writer.Key("state");
-  writer.String(state_name(member));
-  writer.Key("silentS");  // to a tenth of a second
-  writer.Double(context_.peers.is_up(member.ip) ? 0 : std::round(monitor_.silence(member.ip, now) * 10) / 10);
-  writer.Key("since");
-  writer.Uint64(member.since.v);
-  writer.EndObject();
+void MembershipService::write_entry(JsonWriter& json, Member const& member, Seconds now) const {
+  bool const is_up = context_.peers.is_up(member.ip);
+  write_member(json, "address", member.ip);
+  write_member(json, "zone", member.zone);
+  write_member(json, "region", member.region);
+  write_member(json, "up", is_up);
+  write_member(json, "state", state_name(member));
+  write_member(json, "silentS", is_up ? 0 : std::round(monitor_.silence(member.ip, now) * 10) / 10);  // to 0.1 s
+  write_member(json, "since", member.since.v);
 }
 
 }  // namespace dockbend
--- a/packages/controller/status_report.cpp
+++ b/packages/controller/status_report.cpp
@@ -1,4 +1,5 @@
 #include "controller/status_report.hpp"
+#include "transport/counters.hpp"
 
 #include <cmath>
 
@@ -10,137 +11,102 @@
 }  // namespace
 
 std::string StatusReport::render() const {
-  rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
-  writer.StartObject();
-  writer.Key("node");
-  writer.String(context_.settings.nodeName.c_str());
-  write_contact(writer);
-  write_consensus(writer);
-  write_rejected_input(writer);
-  write_unmatched(writer);
-  services_.membership.write_members(writer);
-  write_items(writer);
-  services_.leases.write_leases(writer);
-  write_evacuations(writer);
-  write_servers(writer);
-  write_proxies(writer);
-  writer.EndObject();
-  return std::string(buffer.GetString(), buffer.GetSize());
+  return json_object([this](JsonWriter& json) {
+    write_member(json, "node", context_.settings.nodeName);
+    write_contact(json);
+    write_consensus(json);
+    write_rejected_input(json);
+    write_unmatched(json);
+    services_.membership.write_members(json);
+    write_items(json);
+    services_.leases.write_leases(json);
+    write_evacuations(json);
+    write_servers(json);
+    write_proxies(json);
+  });
 }
 
-void StatusReport::write_contact(Writer& writer) const {
-  writer.Key("inContact");
-  writer.Bool(context_.in_contact());
+void StatusReport::write_contact(JsonWriter& json) const {
+  write_member(json, "inContact", context_.in_contact());
   Seconds const now = steady_now();
-  writer.Key("contactAgeS");  // since a majority was asked that then answered; null: never
+  json.Key("contactAgeS");  // since a majority was asked that then answered; null: never
   Seconds const age = context_.committed ? now - context_.contact.fresh_since(now) : -kNever;
   if (age < kNeverContacted)
-    writer.Double(std::round(age * kMillisecondsPerSecond) / kMillisecondsPerSecond);
+    json.Double(std::round(age * kMillisecondsPerSecond) / kMillisecondsPerSecond);
   else
-    writer.Null();
-  writer.Key("contactBoundS");
-  writer.Double(context_.contact.options().max_age);
+    json.Null();
+  write_member(json, "contactBoundS", context_.contact.options().max_age);
 }
 
-void StatusReport::write_consensus(Writer& writer) const {
-  writer.Key("ballot");
-  writer.Uint64(services_.consensus.ballot().v);
-  writer.Key("bearsLossOf");
-  writer.Uint64(services_.consensus.tolerated_disk_losses());
-  writer.Key("keysWhole");
-  writer.Bool(services_.idempotency.ledger().is_complete());
-  writer.Key("keys");
-  writer.Uint64(services_.idempotency.ledger().size());
+void StatusReport::write_consensus(JsonWriter& json) const {
+  write_member(json, "ballot", services_.consensus.ballot().v);
+  write_member(json, "bearsLossOf", u64{services_.consensus.tolerated_disk_losses()});
+  write_member(json, "keysWhole", services_.idempotency.ledger().is_complete());
+  write_member(json, "keys", u64{services_.idempotency.ledger().size()});
 }
 
-void StatusReport::write_rejected_input(Writer& writer) const {
-  writer.Key("badInput");
-  writer.StartObject();
-  writer.Key("channelsEnded");
-  writer.Uint64(rejected_input().channels);
-  writer.Key("lettersIgnored");
-  writer.Uint64(rejected_input().letters);
-  writer.Key("callsRefused");
-  writer.Uint64(rejected_input().calls);
-  writer.EndObject();
+void StatusReport::write_rejected_input(JsonWriter& json) const {
+  json.Key("badInput");
+  write_object(json, [&] {
+    write_member(json, "channelsEnded", rejected_input().channels);
+    write_member(json, "lettersIgnored", rejected_input().letters);
+    write_member(json, "callsRefused", rejected_input().calls);
+  });
 }
 
-void StatusReport::write_unmatched(Writer& writer) const {
-  writer.Key("dropped");
-  writer.StartObject();
-  context_.unmatched.each([&](UnmatchedReason reason, u64 count) {
-    writer.Key(name_of(reason));
-    writer.Uint64(count);
+void StatusReport::write_unmatched(JsonWriter& json) const {
+  json.Key("dropped");
+  write_object(json, [&] {
+    context_.unmatched.each([&](UnmatchedReason reason, u64 count) { write_member(json, name_of(reason), count); });
   });
-  writer.EndObject();
 }
 
-void StatusReport::write_items(Writer& writer) const {
-  writer.Key("items");
-  writer.StartArray();
-  if (context_.committed)
-    for (ConfigItem const& item : context_.committed->items) {
-      writer.StartObject();
-      writer.Key("key");
-      writer.String(item.key.c_str());
-      writer.Key("generation");
-      writer.String(json::gen_str(item.gen).c_str());
-      writer.Key("dropped");
-      writer.Bool(item.gone);
-      writer.EndObject();
-    }
-  writer.EndArray();
+void StatusReport::write_items(JsonWriter& json) const {
+  write_array(json, "items", [&] {
+    if (!context_.committed) return;
+    for (ConfigItem const& item : context_.committed->items)
+      write_object(json, [&] {
+        write_member(json, "key", item.key);
+        write_member(json, "generation", json::gen_str(item.gen));
+        write_member(json, "dropped", item.gone);
+      });
+  });
 }
 
-void StatusReport::write_evacuations(Writer& writer) const {
-  writer.Key("evacuations");
-  writer.StartArray();
-  if (context_.committed)
+void StatusReport::write_evacuations(JsonWriter& json) const {
+  write_array(json, "evacuations", [&] {
+    if (!context_.committed) return;
     for (Evacuation const& evacuation : context_.committed->evacuations)
-      if (evacuation.on) writer.String(evacuation.zone.c_str());
-  writer.EndArray();
+      if (evacuation.on) json.String(evacuation.zone.c_str());
+  });
 }
 
-void StatusReport::write_servers(Writer& writer) const {
-  writer.Key("servers");
-  writer.StartArray();
-  for (auto const& [id, entry] : services_.registry.roll().entries()) {
-    if (entry.record.state == ServerState::gone) continue;
-    writer.StartObject();
-    writer.Key("id");
-    writer.String(id.c_str());
-    writer.Key("service");
-    writer.String(entry.record.service.c_str());
-    writer.Key("zone");
-    writer.String(entry.record.zone.c_str());
-    writer.Key("state");
-    writer.String(entry.record.state == ServerState::ready ? "ready" : "draining");
-    writer.EndObject();
-  }
-  writer.EndArray();
+void StatusReport::write_servers(JsonWriter& json) const {
+  write_array(json, "servers", [&] {
+    for (auto const& [id, entry] : services_.registry.roll().entries()) {
+      ServerRecord const& record = entry.record;
+      if (record.state == ServerState::gone) continue;
+      write_object(json, [&] {
+        write_member(json, "id", record.id);
+        write_member(json, "service", record.service);
+        write_member(json, "zone", record.zone);
+        write_member(json, "state", record.state == ServerState::ready ? "ready" : "draining");
+      });
+    }
+  });
 }
 
-void StatusReport::write_proxies(Writer& writer) const {
-  writer.Key("sites");
-  writer.StartArray();
-  for (auto const& [front, proxy] : services_.directory.catalog().entries()) {
-    writer.StartObject();
-    writer.Key("address");
-    writer.String(front.c_str());
-    writer.Key("zone");
-    writer.String(proxy.zone.c_str());
-    writer.Key("ready");
-    writer.Bool(proxy.ready);
-    writer.Key("load");
-    writer.Double(proxy.load);
-    if (proxy.unmatched > 0) {
-      writer.Key("dropped");
-      writer.Uint64(proxy.unmatched);
-    }
-    writer.EndObject();
-  }
-  writer.EndArray();
+void StatusReport::write_proxies(JsonWriter& json) const {
+  write_array(json, "sites", [&] {
+    for (auto const& [front, proxy] : services_.directory.catalog().entries())
+      write_object(json, [&, &address = front, &entry = proxy] {
+        write_member(json, "address", address);
+        write_member(json, "zone", entry.zone);
+        write_member(json, "ready", entry.ready);
+        write_member(json, "load", entry.load);
+        if (entry.unmatched > 0) write_member(json, "dropped", entry.unmatched);
+      });
+  });
 }
 
 }  // namespace dockbend
--- a/packages/proxy/attempt_runner.cpp
+++ b/packages/proxy/attempt_runner.cpp
@@ -70,9 +70,8 @@
   context_.load_balancer.attempt_abandoned(server);
   if (!proves_not_run(result)) usage_.count(request);
   report_failure(server, result, was_kept, request.retry_state().attempt_started_at(), now);
-  flow_.carry_out(request, request.machine.on_attempt_ended(result, now, retry_after(request), [&] {
-    return context_.load_balancer.retry_budget(request.service_index).take(now, context_.load_balancer.proxy_share());
-  }));
+  flow_.carry_out(request, request.machine.on_attempt_ended(result, now, retry_after(request),
+                                                            [&] { return spend_retry_budget(request, now); }));
 }
 
 void AttemptRunner::report_failure(ServerIndex server, AttemptResult result, bool was_kept, Seconds attempt_started_at,
@@ -111,6 +110,11 @@
   request.set_timer(request.retry_state().next_timer(now, has_connection, is_sent));
 }
 
+bool AttemptRunner::spend_retry_budget(ProxiedRequest const& request, Seconds now) {
+  LoadBalancer& balancer = context_.load_balancer;
+  return balancer.retry_budget(request.service_index).take(now, balancer.proxy_share());
+}
+
 bool AttemptRunner::replace_late_attempt(ProxiedRequest& request, Seconds now) {
   LoadBalancer& balancer = context_.load_balancer;
   LoadBalancer::Choice choice;
@@ -118,9 +122,7 @@
     choice = balancer.choose(query_of(request), now);
     return static_cast<bool>(choice.server);
   };
-  auto const spend_budget = [&] {
-    return balancer.retry_budget(request.service_index).take(now, balancer.proxy_share());
-  };
+  auto const spend_budget = [&] { return spend_retry_budget(request, now); };
   if (!request.machine.replace_attempt(now, context_.drain.is_terminating(), choose_server, spend_budget)) return false;
   ServerIndex const server = request.server;
   retire_connection(request);
--- a/packages/proxy/include/proxy/attempt_runner.hpp
+++ b/packages/proxy/include/proxy/attempt_runner.hpp
@@ -29,6 +29,8 @@
   /// Breaks off an attempt at a server that is at work and sends to another one, once all that the retry needs is
   /// had. Nothing else runs between the choice of the server and the send to it. False: nothing has changed.
   bool replace_late_attempt(ProxiedRequest& request, Seconds now);
+  /// Takes a token for a retry, if the service's retry budget has one.
+  bool spend_retry_budget(ProxiedRequest const& request, Seconds now);
   void expire(ProxiedRequest& request, Seconds now);
   void retire_connection(ProxiedRequest& request);
   /// Tells the load balancer how an attempt ended. was_kept: its connection had served another request before.
--- a/packages/proxy/include/proxy/proxied_request.hpp
+++ b/packages/proxy/include/proxy/proxied_request.hpp
@@ -61,6 +61,9 @@
   EventOwner timer_;
 };
 
+/// Whether requests of this method usually have a body: they may come in chunks, and state a length even if it is 0.
+bool method_has_body(evhttp_cmd_type method);
+
 /// Copies libevent's header list.
 Headers headers_of(evkeyvalq* list);
 
--- a/packages/proxy/proxied_request.cpp
+++ b/packages/proxy/proxied_request.cpp
@@ -29,6 +29,10 @@
   event_del(timer_.get());
 }
 
+bool method_has_body(evhttp_cmd_type method) {
+  return method == EVHTTP_REQ_POST || method == EVHTTP_REQ_PUT || method == EVHTTP_REQ_PATCH;
+}
+
 Headers headers_of(evkeyvalq* list) {
   Headers headers;
   for (evkeyval* entry = list->tqh_first; entry != nullptr; entry = entry->next.tqe_next)
--- a/packages/proxy/request_intake.cpp
+++ b/packages/proxy/request_intake.cpp
@@ -5,14 +5,12 @@
 
 #include <memory>
 
+#include "transport/counters.hpp"
 namespace dockbend {
 namespace {
 /// What the packets round a request come to, about.
 double constexpr kRequestOverheadBytes = 150;
 
-bool may_have_chunked_body(evhttp_cmd_type method) {
-  return method == EVHTTP_REQ_POST || method == EVHTTP_REQ_PUT || method == EVHTTP_REQ_PATCH;
-}
 std::size_t body_bytes_of(evhttp_request* request) {
   return evbuffer_get_length(evhttp_request_get_input_buffer(request));
 }
@@ -24,7 +22,7 @@
   std::size_t const body_bytes = body_bytes_of(client_request);
   context_.traffic.bytes_in += static_cast<double>(body_bytes + size_of(headers)) + kRequestOverheadBytes;
   IncomingRequest const incoming{headers, evhttp_request_get_uri(client_request), body_bytes,
-                                 may_have_chunked_body(evhttp_request_get_command(client_request))};
+                                 method_has_body(evhttp_request_get_command(client_request))};
   AdmissionResult result =
       admit(incoming, context_.has_configuration ? &context_.configuration : nullptr, context_.configuration.limits(),
             context_.drain.is_draining_for_maintenance(), random01());
--- a/packages/proxy/upstream_sender.cpp
+++ b/packages/proxy/upstream_sender.cpp
@@ -77,8 +77,7 @@
   evhttp_add_header(out, "X-Target-Server", server_id.c_str());
   evhttp_add_header(out, "Connection", "keep-alive");
   // Stated by us whatever the method: a body without its length would be read as the next request.
-  if (request.body_bytes > 0 || request.method == EVHTTP_REQ_POST || request.method == EVHTTP_REQ_PUT ||
-      request.method == EVHTTP_REQ_PATCH)
+  if (request.body_bytes > 0 || method_has_body(request.method))
     evhttp_add_header(out, "Content-Length", std::to_string(request.body_bytes).c_str());
 }
 
--- a/packages/quota/include/quota/quota_client.hpp
+++ b/packages/quota/include/quota/quota_client.hpp
@@ -19,7 +19,6 @@
 class QuotaClient {
  public:
   QuotaClient(u64 incarnation, std::string address) : incarnation_(incarnation), address_(std::move(address)) {}
-  void set_address(std::string address) { address_ = std::move(address); }
 
   /// Sets or changes a tenant's limit. A new one starts with no tokens, and has none set aside before the allocator
   /// said how many proxies share it.
--- a/packages/request/include/request/request_machine.hpp
+++ b/packages/request/include/request/request_machine.hpp
@@ -77,7 +77,6 @@
   std::string const& attempt_id() const { return attempt_id_; }
   RetryState const& retry_state() const { return retry_state_; }
   Phase phase() const { return phase_; }
-  bool holds_key() const { return holds_key_; }
 
   // ---- the tenant's quota ----
   RequestAction on_quota_granted() {
