--- a/packages/controller/api_responder.cpp
+++ b/packages/controller/api_responder.cpp
@@ -1,8 +1,8 @@
 #include "controller/api_responder.hpp"
 
 #include "request/headers.hpp"
+#include "transport/counters.hpp"
 #include "transport/event_owners.hpp"
-#include "transport/transport.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/controller.cpp
+++ b/packages/controller/controller.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "transport/counters.hpp"
 namespace dockbend {
 
 namespace {
--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -1,4 +1,5 @@
 #include "controller/inbound_sessions.hpp"
+#include "transport/counters.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/include/controller/controller.hpp
+++ b/packages/controller/include/controller/controller.hpp
@@ -7,6 +7,8 @@
 #include "controller/http_listener.hpp"
 #include "controller/inbound_sessions.hpp"
 #include "controller/outbound_peers.hpp"
+#include "transport/listener.hpp"
+#include "transport/periodic_timer.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/include/controller/controller_context.hpp
+++ b/packages/controller/include/controller/controller_context.hpp
@@ -18,6 +18,8 @@
 #include "request/headers.hpp"
 #include "server_registry/server_registry.hpp"
 #include "storage/async_store.hpp"
+#include "transport/connection.hpp"
+#include "transport/peer_link.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/include/controller/message_dispatch.hpp
+++ b/packages/controller/include/controller/message_dispatch.hpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <initializer_list>
 
-#include "transport/transport.hpp"
+#include "transport/message.hpp"
 
 namespace dockbend {
 
--- a/packages/controller/outbound_peers.cpp
+++ b/packages/controller/outbound_peers.cpp
@@ -1,4 +1,5 @@
 #include "controller/outbound_peers.hpp"
+#include "transport/counters.hpp"
 
 namespace dockbend {
 
--- a/packages/hollow_nodes/include/hollow_nodes/simulated_nodes.hpp
+++ b/packages/hollow_nodes/include/hollow_nodes/simulated_nodes.hpp
@@ -8,8 +8,11 @@
 #include "consensus/acceptor.hpp"
 #include "hollow_nodes/options.hpp"
 #include "hollow_nodes/process_usage.hpp"
+#include "transport/connection.hpp"
 #include "transport/event_owners.hpp"
-#include "transport/transport.hpp"
+#include "transport/message.hpp"
+#include "transport/peer_link.hpp"
+#include "transport/periodic_timer.hpp"
 
 namespace dockbend {
 
--- a/packages/leases/platform_client.cpp
+++ b/packages/leases/platform_client.cpp
@@ -10,7 +10,8 @@
 #include <utility>
 
 #include "transport/event_owners.hpp"
-#include "transport/transport.hpp"
+#include "transport/periodic_timer.hpp"
+#include "transport/socket_options.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/process/include/process/program.hpp
+++ b/packages/process/include/process/program.hpp
@@ -2,6 +2,7 @@
 /// What every daemon shares: command line, settings, signals, and the watch on the settings file.
 #pragma once
 #include <event2/event.h>
+#include <sigc++/sigc++.h>
 #include <unistd.h>
 
 #include <cstdio>
@@ -11,7 +12,7 @@
 
 #include "settings/settings.hpp"
 #include "transport/event_owners.hpp"
-#include "transport/transport.hpp"
+#include "transport/periodic_timer.hpp"
 
 namespace dockbend {
 
--- a/packages/proxy/activity_log.cpp
+++ b/packages/proxy/activity_log.cpp
@@ -1,6 +1,7 @@
 #include "proxy/activity_log.hpp"
 
 #include <log4cplus/loggingmacros.h>
+#include "transport/counters.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/proxy/agent_client.cpp
+++ b/packages/proxy/agent_client.cpp
@@ -1,4 +1,5 @@
 #include "proxy/agent_client.hpp"
+#include "transport/counters.hpp"
 
 namespace dockbend {
 namespace {
--- a/packages/proxy/include/proxy/key_outcome_reporter.hpp
+++ b/packages/proxy/include/proxy/key_outcome_reporter.hpp
@@ -5,7 +5,7 @@
 
 #include "idempotency/proxy_messages.hpp"
 #include "proxy/proxied_request.hpp"
-#include "transport/transport.hpp"
+#include "transport/peer_link.hpp"
 
 namespace dockbend {
 
--- a/packages/proxy/include/proxy/proxy.hpp
+++ b/packages/proxy/include/proxy/proxy.hpp
@@ -13,6 +13,7 @@
 #include "proxy/service_routing.hpp"
 #include "proxy/shutdown_sequence.hpp"
 #include "proxy/state_applier.hpp"
+#include "transport/periodic_timer.hpp"
 
 namespace dockbend {
 
--- a/packages/proxy/include/proxy/proxy_context.hpp
+++ b/packages/proxy/include/proxy/proxy_context.hpp
@@ -11,7 +11,7 @@
 #include "proxy/drain_status.hpp"
 #include "proxy/proxied_request.hpp"
 #include "settings/settings.hpp"
-#include "transport/transport.hpp"
+#include "transport/peer_link.hpp"
 #include "upstream/connection_pool.hpp"
 
 namespace dockbend {
--- a/packages/upstream/connection_pool.cpp
+++ b/packages/upstream/connection_pool.cpp
@@ -5,7 +5,8 @@
 
 #include <algorithm>
 
-#include "transport/transport.hpp"
+#include "transport/periodic_timer.hpp"
+#include "transport/socket_options.hpp"
 
 namespace dockbend {
 namespace {
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -19,6 +19,12 @@
 #include "quota/quota_messages.hpp"
 #include "rollout/rollout_messages.hpp"
 #include "server_registry/server_registry.hpp"
+#include "transport/connection.hpp"
+#include "transport/counters.hpp"
+#include "transport/listener.hpp"
+#include "transport/peer_link.hpp"
+#include "transport/periodic_timer.hpp"
+#include "transport/relay.hpp"
 #include "usage/usage_totals.hpp"
 
 using namespace dockbend;
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -2,7 +2,9 @@
 
 #include <set>
 
-#include "transport/transport.hpp"
+#include "settings/settings.hpp"
+#include "transport/dial_strategy.hpp"
+#include "transport/message.hpp"
 
 using namespace dockbend;
 
--- a/tests/support/golden_fields.hpp
+++ b/tests/support/golden_fields.hpp
@@ -28,7 +28,7 @@
 #include "quota/quota_messages.hpp"
 #include "rollout/rollout_messages.hpp"
 #include "server_registry/server_registry.hpp"
-#include "transport/transport.hpp"
+#include "transport/relay.hpp"
 #include "usage/usage_totals.hpp"
 #include "wire/codec.hpp"
 
--- a/tests/support/input_mutation.hpp
+++ b/tests/support/input_mutation.hpp
@@ -18,7 +18,8 @@
 #include "request/headers.hpp"
 #include "rollout/rollout_messages.hpp"
 #include "server_registry/server_registry.hpp"
-#include "transport/transport.hpp"
+#include "transport/message.hpp"
+#include "transport/relay.hpp"
 #include "usage/usage_totals.hpp"
 #include "wire/frame.hpp"
 
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "transport/transport.hpp"
+#include "transport/periodic_timer.hpp"
 #include "upstream/connection_pool.hpp"
 
 using namespace dockbend;
