--- a/tests/golden/control_api.sh
+++ b/tests/golden/control_api.sh
@@ -9,27 +9,10 @@
 bin=$(cd "$1" && pwd)
 cd "$(dirname "$0")/../.."
 golden=$PWD/tests/golden/http.txt
-work=$(mktemp -d)
-pids=()
-end() {
-  for p in "${pids[@]}"; do kill "$p" 2>/dev/null || true; done
-  wait || true
-  rm -rf "$work"
-}
-trap end EXIT
+# shellcheck source=tests/support/example_system.sh
+source tests/support/example_system.sh
 control=127.0.0.1:26146
-shift_ports="s|8146|26146|g; s|8143|26143|g; s|8144|26144|g; s|8140|26140|g; s|^innerPorts=.*|innerPorts=27760,27775|"
-sed "s|^dataDir=.*|dataDir=$work/data|; $shift_ports" docs/example/core.conf > "$work/core.conf"
-sed "$shift_ports" docs/example/edge.conf > "$work/edge.conf"
-DOCKBEND_SETTINGS=$work/core.conf "$bin/dockbend-controller" > "$work/controller.log" 2>&1 & pids+=($!)
-DOCKBEND_SETTINGS=$work/edge.conf "$bin/dockbend-agent" > "$work/agent.log" 2>&1 & pids+=($!)
-DOCKBEND_SETTINGS=$work/edge.conf "$bin/dockbend-proxy" > "$work/proxy.log" 2>&1 & pids+=($!)
-"$bin/dockbend-loadgen" serve --at 127.0.0.1:29101 --id s-1 --beat "$control" --service desk --zone desk \
-  > "$work/loadgen.log" 2>&1 & pids+=($!)
-for _ in $(seq 1 50); do
-  "$bin/dockbend" --at "$control" configuration amend docs/example/manifest.json >/dev/null 2>&1 && break
-  sleep 0.2
-done
+start_example_system "$bin" 26
 cat > "$work/customer.json" <<'JSON'
 {"upsert":{"customers":[{"name":"ada","keys":["k1"],"rank":1,"homeRegions":[],
 "allowance":{"rate":60,"burst":60,"reserve":0.3},"generation":"00000001"}]}}
