--- a/packages/controller/consensus_service.cpp
+++ b/packages/controller/consensus_service.cpp
@@ -15,7 +15,6 @@
 constexpr Seconds kChunkPatienceSeconds = 1.0;     // while chunks come, nobody else is asked
 constexpr Seconds kFinishPatienceSeconds = 1.5;
 constexpr int kMaxBackoffFactor = 6;
-constexpr u32 kAgentRole = 2;
 constexpr Incarnation kFounderIncarnation{1};
 
 }  // namespace
--- a/packages/controller/inbound_sessions.cpp
+++ b/packages/controller/inbound_sessions.cpp
@@ -93,7 +93,7 @@
   HandshakeRequest& hello = request.session.hello;
   hello = request.message.as<HandshakeRequest>();
   if (!is_ip(hello.ip)) throw codec::MalformedMessage("a hello without an address");
-  if (hello.role == 1) services_.consensus.on_peer_state(hello.ip, hello.incarnation, hello.accepted);
+  if (hello.role == kControllerRole) services_.consensus.on_peer_state(hello.ip, hello.incarnation, hello.accepted);
   HandshakeResponse response;
   response.ballot = services_.consensus.ballot();
   response.incarnation = context_.acceptor->incarnation();
--- a/packages/controller/membership_service.cpp
+++ b/packages/controller/membership_service.cpp
@@ -13,7 +13,6 @@
 constexpr Seconds kReplacePatienceSeconds = 2.0;
 constexpr Seconds kLeavePatienceSeconds = 1.0;
 constexpr Seconds kExitReserveSeconds = 1.5;  // of the grace period, for the end of the process
-constexpr u32 kControllerRole = 1;
 
 /// What came of an operator's removal of a member.
 struct RemovalResult {
@@ -130,7 +129,7 @@
   wanted.incarnation = context_.acceptor->incarnation();
   wanted.zone = settings.zone;
   wanted.region = settings.region;
-  wanted.control = settings.bind.count("control") == 0 ? 0 : settings.bind.at("control").port;
+  wanted.control = settings.control_port();
   wanted.whole = idempotency_.ledger().is_complete() && current != nullptr;
   if (current != nullptr) wanted.since = current->since;
   return wanted;
--- a/packages/controller/outbound_peers.cpp
+++ b/packages/controller/outbound_peers.cpp
@@ -75,11 +75,11 @@
 HandshakeRequest OutboundPeers::own_handshake() const {
   Settings const& settings = context_.settings;
   HandshakeRequest request;
-  request.role = 1;
+  request.role = kControllerRole;
   request.ip = settings.ip;
   request.zone = settings.zone;
   request.region = settings.region;
-  request.control = settings.bind.count("control") == 0 ? 0 : settings.bind.at("control").port;
+  request.control = settings.control_port();
   request.incarnation = context_.acceptor->incarnation();
   request.node = settings.nodeName;
   request.accepted = services_.consensus.durable();
--- a/packages/hollow_nodes/simulated_nodes.cpp
+++ b/packages/hollow_nodes/simulated_nodes.cpp
@@ -9,6 +9,7 @@
 
 #include "idempotency/key_table.hpp"
 #include "server_registry/server_registry.hpp"
+#include "wire/frame.hpp"
 
 namespace dockbend {
 namespace {
@@ -18,12 +19,10 @@
 Seconds constexpr kServerHeartbeatPeriod = 1.5;
 double constexpr kUncountedShare = 0.2;  // of the duration, at its start
 Seconds constexpr kRedialDelay = 1, kSilenceLimit = 4;
-std::size_t constexpr kFrameHeadBytes = 9;
 long constexpr kMostHeartbeatConnections = 20;
 int constexpr kHeartbeatTimeoutSeconds = 2;
 std::size_t constexpr kHostsPerSubnet = 200;
 std::size_t constexpr kServices = 8;
-u32 constexpr kAgentRole = 2;
 u32 constexpr kClaimTag = 1;
 
 /// How many of `nodes` that each send once a period do so in one tick; the fraction is rounded by chance.
@@ -66,7 +65,7 @@
   if (agent.link->ch() == nullptr) return;
   std::string const body = codec::pack(record);
   ++counts_.messages_out;
-  counts_.bytes_out += kFrameHeadBytes + body.size();
+  counts_.bytes_out += frame::kHeaderLength + body.size();
   agent.link->ch()->send(type, tag, body);
 }
 
@@ -84,7 +83,7 @@
 
 void SimulatedNodes::on_message(Message const& message) {
   ++counts_.messages_in;
-  counts_.bytes_in += kFrameHeadBytes + message.body.size();
+  counts_.bytes_in += frame::kHeaderLength + message.body.size();
   if (message.kind == MessageType::handshake_response) incarnation_ = message.as<HandshakeResponse>().incarnation;
   if (message.kind == MessageType::catch_up_response)
     if (CommitNotice const notice = message.as<CommitNotice>(); !notice.state.empty())
--- a/packages/server_registry/include/server_registry/handshake_messages.hpp
+++ b/packages/server_registry/include/server_registry/handshake_messages.hpp
@@ -9,6 +9,9 @@
 
 namespace dockbend {
 
+/// The kinds of process that dial, as HandshakeRequest names them.
+inline constexpr u32 kControllerRole = 1, kAgentRole = 2;
+
 /// Sent by the process that dialled. `role`: the kind of process; `ip`, `zone`, `region`: where it runs; `front`: a
 /// proxy's front address; `control`: the port it can be dialled at; `accepted`: the newest value it has accepted.
 struct HandshakeRequest {
--- a/packages/settings/include/settings/settings.hpp
+++ b/packages/settings/include/settings/settings.hpp
@@ -72,6 +72,11 @@
 
   u32 relay() const { return innerFirst + 2 <= innerLast ? innerFirst + 2 : 0; }  ///< port where agents relay; 0: none
   u32 agent() const { return agentPort > 0 ? agentPort : innerFirst + 1; }
+  /// Port of the control API; 0: none is served here.
+  u32 control_port() const {
+    auto const it = bind.find("control");
+    return it == bind.end() ? 0 : it->second.port;
+  }
   /// The region of a zone, "" if the settings do not name it.
   std::string region_of(std::string const& z) const {
     auto const it = zones.find(z);
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -93,7 +93,7 @@
     m.link->relays([this] { return relays_; });
     m.link->on_up.connect([this, ip](PeerLink& l) {
       HandshakeRequest h;
-      h.role = 2;
+      h.role = kAgentRole;
       h.ip = st_.ip;
       h.zone = st_.zone;
       h.region = st_.region;
